--- a/src/include/papayastep/node/nodecontext.h
+++ b/src/include/papayastep/node/nodecontext.h
@@ -56,8 +56,8 @@
     limits::RateLimiter &tokens; ///< The same, for short.
     health::HealthMonitor health;
     health::GrayBook gray;
-    routing::SilenceBook silence;
-    routing::IdleBook idle;
+    routing::SilentNodes silence;
+    routing::ServerIdleTimes idle;
     routing::RetryBudget retryBudget;
     routing::RetryPolicy retryPolicy;
     routing::LedgerHome ledgerHome;
--- a/src/include/papayastep/routing/attemptregistry.h
+++ b/src/include/papayastep/routing/attemptregistry.h
@@ -26,7 +26,7 @@
     std::size_t operator()(const AttemptId &id) const noexcept;
 };
 
-enum class BeginResult {
+enum class RegistrationResult {
     Accepted,
     Replayed, ///< Seen before: no word on what the first did (HopReplayed, outcome unknown).
     Cancelled, ///< Cancelled before it came (HopCancelled, not-run).
@@ -34,12 +34,12 @@
     Full, ///< No room to remember it (HopQueueFull, not-run).
 };
 
-struct Begin
+struct AttemptRegistration
 {
-    BeginResult result = BeginResult::Full;
+    RegistrationResult result = RegistrationResult::Full;
     base::TimePoint deadline; ///< By this node's clock, with the delay under way taken off.
 
-    auto operator<=>(const Begin &) const = default;
+    auto operator<=>(const AttemptRegistration &) const = default;
 };
 
 enum class CancelAnswer {
@@ -47,7 +47,7 @@
     Started,
     Done,
     HandedOver, ///< A sibling has it now: pass the cancel on to it, and let it answer the entry.
-    NoPromise, ///< No room to remember a promise. The entry must treat it as unanswered.
+    Unconfirmed, ///< No room to remember a promise. The entry must treat it as unanswered.
 };
 
 std::string_view name(CancelAnswer answer);
@@ -66,7 +66,7 @@
     explicit AttemptRegistry(const base::Clock &clock, AttemptRegistrySettings settings = {});
 
     /// An attempt arrives with `remaining` time, counted from `stamp`. Accepted ones are queued.
-    Begin begin(const AttemptId &id, const SentStamp &stamp, base::Duration remaining);
+    AttemptRegistration registerAttempt(const AttemptId &id, const SentStamp &stamp, base::Duration remaining);
 
     /// Call right before the first byte goes to the backend server. False: it was cancelled or its deadline has
     /// passed, and it must not run.
--- a/src/include/papayastep/routing/hopdelay.h
+++ b/src/include/papayastep/routing/hopdelay.h
@@ -29,7 +29,7 @@
 public:
     explicit HopDelay(const base::Clock &clock);
 
-    /// The delay of a message that arrives now, at least 0. The first of an incarnation counts as not delayed.
+    /// The delay of a message that arrives now, at minimum 0. The first of an incarnation counts as not delayed.
     base::Duration observe(const SentStamp &stamp);
 
     /// Forgets senders not heard for an hour. Call now and then.
@@ -40,9 +40,9 @@
 private:
     struct Offset
     {
-        base::Duration least{0}; ///< Arrival minus sent.
+        base::Duration minimum{0}; ///< Arrival minus sent.
         base::TimePoint since;
-        base::TimePoint heard;
+        base::TimePoint lastReceived;
     };
 
     const base::Clock &m_clock;
--- a/src/include/papayastep/routing/idempotencyledger.h
+++ b/src/include/papayastep/routing/idempotencyledger.h
@@ -18,17 +18,17 @@
     std::size_t maxBytesOfWorkspace = 2u << 20; ///< So that one workspace can't fill the ledger for all.
     std::size_t maxAnswerBytes = 64u << 10; ///< Larger answers are not kept.
     base::Duration unknownAfter = std::chrono::seconds(2); ///< After its deadline a run without report is unknown.
-    base::Duration keyAhead = std::chrono::seconds(20); ///< A UUIDv7 key may be this far in the future.
+    base::Duration maxKeyAhead = std::chrono::seconds(20); ///< A UUIDv7 key may be this far in the future.
     base::Duration clockSkew = std::chrono::seconds(5); ///< Largest difference between two nodes' calendar clocks.
     base::Duration resendEvery = std::chrono::milliseconds(100);
     base::Duration claimTimeout = std::chrono::seconds(2); ///< At the entry: then the home is unreachable.
     base::Duration askNextAfter = std::chrono::milliseconds(250); ///< At the entry: then the next home is asked too.
-    base::Duration fetchPatience = std::chrono::seconds(1); ///< Claims wait this long for a fetch, then are refused.
+    base::Duration fetchTimeout = std::chrono::seconds(1); ///< Claims wait this long for a fetch, then are refused.
     base::Duration completeTimeout = std::chrono::seconds(30); ///< At the entry: then a report is given up.
     /// At the entry: an answer waits this long for its report's acknowledgement. Longer than askNextAfter, so that the
     /// next home of one that has stopped is heard too.
-    base::Duration recordPatience = std::chrono::seconds(1);
-    std::size_t partBytes = 48u << 10; ///< Of one message with records.
+    base::Duration recordTimeout = std::chrono::seconds(1);
+    std::size_t maxPartBytes = 48u << 10; ///< Of one message with records.
     /// A first installation: no process has served keys before. Without it a new fleet refuses random keys for one
     /// retention, since it can't tell its first start from a restart of all nodes. It has no effect where a sibling
     /// has run for longer than this process. Set for a fleet that restarts as a whole, a repeat runs again.
@@ -65,7 +65,7 @@
     /// Takes a record of another home. The one that knows more wins. False: no room, and nothing was taken.
     bool merge(const LedgerRecord &record);
 
-    /// Records with keys after `after`, in order, that `wanted` accepts, up to about partBytes. Sets `last`.
+    /// Records with keys after `after`, in order, that `wanted` accepts, up to about maxPartBytes. Sets `last`.
     std::vector<LedgerRecord> page(const KeyHash &after,
                                    const std::function<bool(const KeyHash &, const base::ServiceId &)> &wanted,
                                    bool &last) const;
@@ -81,12 +81,12 @@
     std::size_t bytesOf(const base::WorkspaceId &workspace) const;
 
 private:
-    struct Use
+    struct Usage
     {
         std::size_t records = 0;
         std::size_t bytes = 0;
     };
-    using UseMap = std::map<base::WorkspaceId, Use>;
+    using UsageMap = std::map<base::WorkspaceId, Usage>;
 
     struct Record
     {
@@ -95,7 +95,7 @@
         RecordState state = RecordState::Running;
         base::TimePoint until; ///< Deadline of the run, or end of the retention.
         base::Duration retention{0};
-        UseMap::value_type *workspace = nullptr;
+        UsageMap::value_type *workspace = nullptr;
         const base::ServiceId *service = nullptr;
         std::unique_ptr<StoredAnswer> answer;
     };
@@ -103,9 +103,9 @@
 
     static std::size_t bytesOf(const Record &record);
     bool hasRoom(const base::WorkspaceId &workspace, std::size_t bytes) const;
-    bool isOver(const Record &record) const;
+    bool isExpired(const Record &record) const;
     RecordState stateOf(const Record &record) const;
-    base::TimePoint endOf(const Record &record) const;
+    base::TimePoint expiryOf(const Record &record) const;
     LedgerRecord exported(const KeyHash &key, const Record &record) const;
     Record &put(const LedgerRecord &from);
     void setAnswer(Record &record, const LedgerRecord &report);
@@ -115,7 +115,7 @@
     const base::Clock &m_clock;
     LedgerSettings m_settings;
     RecordMap m_records;
-    UseMap m_use;
+    UsageMap m_usage;
     std::set<base::ServiceId> m_services;
     std::size_t m_bytes = 0;
     KeyHash m_sweptTo;
--- a/src/include/papayastep/routing/leastcostplacement.h
+++ b/src/include/papayastep/routing/leastcostplacement.h
@@ -26,7 +26,7 @@
 
     /// What it gains to learn, by a request that can be repeated, whether a server is out of its gray spell. Without
     /// scouts one that failed once would get nothing for as long as others are free.
-    double scoutGain = 0.1;
+    double recoveryProbeGain = 0.1;
 
     /// What it gains to give a request to a well server that nobody has used for `idleAfter`: it shows how the server
     /// is now. Without it those that answer soonest, an entry's own first of all, keep all work at light load, and of
@@ -37,7 +37,7 @@
 
     /// Random part of the expected time. Entries with the same stale figures would otherwise all take the same server.
     double jitter = 0.2;
-    std::size_t mostScored = 48; ///< Of larger services a random part is looked at.
+    std::size_t maxScored = 48; ///< Of larger services a random part is looked at.
 };
 
 /// Takes the server with the least expected cost: the risk that the answer fails in a gray spell or comes late, and the
@@ -60,9 +60,9 @@
 private:
     /// `noise` stretches the expected time; 1: not at all.
     double cost(const Candidate &candidate, const PlacementRequest &request, double noise) const;
-    base::Duration waitAndRun(const Candidate &candidate) const;
-    double gainOfUse(const Candidate &candidate, const PlacementRequest &request) const;
-    double lateness(base::Duration expected, const PlacementRequest &request) const;
+    base::Duration expectedResponseTime(const Candidate &candidate) const;
+    double explorationGain(const Candidate &candidate, const PlacementRequest &request) const;
+    double expectedDelayCost(base::Duration expected, const PlacementRequest &request) const;
 
     base::VmId m_self;
     LeastCostSettings m_settings;
--- a/src/include/papayastep/routing/ledgerclient.h
+++ b/src/include/papayastep/routing/ledgerclient.h
@@ -54,7 +54,7 @@
     bool isReporting(const base::RequestId &request) const;
     std::vector<base::RequestId> takeRecorded();
     /// How long an answer may wait for that.
-    base::Duration recordPatience() const;
+    base::Duration recordTimeout() const;
 
     /// The caller went away while the claim was open: no decision is wanted any more.
     void abandon(const base::RequestId &request);
@@ -90,7 +90,7 @@
     void decide(Entry &entry, const ClaimAnswer &answer);
     void report(const base::RequestId &request, RecordState state, StoredAnswer answer);
     void giveUp(Entry &entry);
-    bool isForgotten(const Entry &entry) const;
+    bool isRemovable(const Entry &entry) const;
     void refuse(const base::RequestId &request, const Refusal &refusal);
     const std::vector<base::VmId> &vmsOf(const base::ServiceId &service);
 
--- a/src/include/papayastep/routing/ledgerhome.h
+++ b/src/include/papayastep/routing/ledgerhome.h
@@ -48,7 +48,7 @@
     const IdempotencyLedger &ledger() const;
 
     /// Whether every earlier home of the keys of `service` was heard, for /status.
-    bool isCovered(const base::ServiceId &service) const;
+    bool hasResolvedEarlierHomes(const base::ServiceId &service) const;
 
 private:
     using VmSet = std::shared_ptr<const std::vector<base::VmId>>;
@@ -59,15 +59,15 @@
     struct Predecessor
     {
         base::VmId vm;
-        base::ServiceId heldAs;
+        base::ServiceId sourceService;
         /// The VMs before the move: keys that were ours by these too are not concerned. Null: any key is.
         VmSet before;
         bool atStart = false; ///< Asked because this process is new, not because a home moved.
         bool isSelf = false; ///< The earlier process on this VM.
-        base::TimePoint asked; ///< First.
-        base::TimePoint sent; ///< Last.
+        base::TimePoint firstAsked; ///< First.
+        base::TimePoint lastAsked; ///< Last.
         KeyHash after; ///< Where the next page begins.
-        std::optional<base::TimePoint> lost; ///< What it knew before then is gone, and it has stopped.
+        std::optional<base::TimePoint> lostAt; ///< What it knew before then is gone, and it has stopped.
     };
     /// A VM that took records from us, since a later revision made it home.
     struct Fetcher
@@ -83,37 +83,38 @@
         std::vector<Predecessor> predecessors;
         std::set<std::pair<base::VmId, VmSet>> asked; ///< Under this revision, so that nobody is asked twice.
         std::vector<Fetcher> fetchers;
-        std::map<base::VmId, base::TimePoint> known; ///< May have been home, and when that was last so.
-        std::map<base::VmId, base::Incarnation> heard; ///< Fetched from us; tells a VM's process from its earlier one.
-        VmSet vouchedVms; ///< By which our earlier process chose the next homes, when it stopped as planned.
-        std::set<base::VmId> vouchedBy; ///< Next homes that hold all it gave them.
-        bool selfKnown = false; ///< Somebody heard an earlier process on this VM.
-        bool selfUnknownToElder = false; ///< Somebody who must have heard it has not.
+        std::map<base::VmId, base::TimePoint> formerHomes; ///< May have been home, and when that was last so.
+        std::map<base::VmId, base::Incarnation>
+            seenIncarnations; ///< Fetched from us; tells a VM's process from its earlier one.
+        VmSet handOverVms; ///< By which our earlier process chose the next homes, when it stopped as planned.
+        std::set<base::VmId> handOverHolders; ///< Next homes that hold all it gave them.
+        bool earlierProcessSeen = false; ///< Somebody heard an earlier process on this VM.
+        bool unseenByLongTimeMember = false; ///< Somebody who must have heard it has not.
         base::Revision previousRevision = 0; ///< The one before ours.
-        base::Revision leastClaimRevision = 0; ///< Entries that are older may send us keys that have moved.
-        base::Revision frozenUntil = 0; ///< Told of this revision: not home before we hold it.
+        base::Revision minClaimRevision = 0; ///< Entries that are older may send us keys that have moved.
+        base::Revision frozenUntilRevision = 0; ///< Told of this revision: not home before we hold it.
         base::Duration retention{0}; ///< Longest of its routes.
     };
     /// What another home gave us as it stopped.
     struct IncomingHandOver
     {
         base::Incarnation incarnation = 0;
-        std::set<base::Incarnation> past; ///< Hand-overs before this one, whose late parts count no more.
+        std::set<base::Incarnation> pastIncarnations; ///< Hand-overs before this one, whose late parts count no more.
         bool isWhole = false; ///< The last part came, and names this process.
         bool isCurrent = true; ///< No other home can have granted runs since.
         std::vector<base::VmId> vms; ///< By which the stopped home chose its next homes.
-        std::optional<base::TimePoint> lost; ///< The stopped home's own gap.
-        std::optional<base::Incarnation> takenBack; ///< By the same VM after its restart.
+        std::optional<base::TimePoint> lostAt; ///< The stopped home's own gap.
+        std::optional<base::Incarnation> reclaimedBy; ///< By the same VM after its restart.
     };
     /// What this node gives to one next home of a service as it stops.
     struct OutgoingHandOver
     {
         std::uint32_t nextPart = 0;
-        bool mayEnd = false; ///< Nothing is missing, so the next home may act once it has all.
-        bool hasEnded = false; ///< The last part was sent.
+        bool mayFinish = false; ///< Nothing is missing, so the next home may act once it has all.
+        bool hasFinished = false; ///< The last part was sent.
         std::optional<base::Incarnation> receiver; ///< The process that acknowledged so far.
         std::vector<base::VmId> vms;
-        std::optional<base::TimePoint> lost;
+        std::optional<base::TimePoint> lostAt;
     };
     struct OutgoingPart
     {
@@ -122,7 +123,7 @@
         base::TimePoint sent;
     };
     /// Why a claim can't be granted for want of knowledge. Nothing in `refusal`: wait a little.
-    struct Gap
+    struct GrantBlock
     {
         std::optional<ClaimAnswer> refusal;
     };
@@ -136,45 +137,47 @@
 
     void applyToService(const base::ServiceId &service, const config::ConfigurationPtr &before);
     void applyToRoutes(const config::ConfigurationPtr &before);
-    void doubtSelf(const base::ServiceId &service, ServiceState &state);
-    void askAll(const base::ServiceId &service,
-                ServiceState &state,
-                const Predecessor &like,
-                const std::vector<base::VmId> &vms);
-    void ask(const base::ServiceId &service, const ServiceState &state, Predecessor &predecessor);
-    std::vector<base::VmId> knownVms(const base::ServiceId &service, const ServiceState &state) const;
+    void assumeEarlierProcess(const base::ServiceId &service, ServiceState &state);
+    void fetchFromAll(const base::ServiceId &service,
+                      ServiceState &state,
+                      const Predecessor &like,
+                      const std::vector<base::VmId> &vms);
+    void sendFetch(const base::ServiceId &service, const ServiceState &state, Predecessor &predecessor);
+    std::vector<base::VmId> possibleHomes(const base::ServiceId &service, const ServiceState &state) const;
     void answerFetch(const base::VmId &from, const LedgerFetch &fetch, ServiceState &state);
-    bool vouchesFor(const base::VmId &from, const LedgerFetch &fetch);
+    bool holdsFullHandOver(const base::VmId &from, const LedgerFetch &fetch);
     void noteFetcher(const base::VmId &from, const LedgerFetch &fetch, ServiceState &state);
     bool mergePage(const LedgerFetchResult &result);
-    void learnAboutSelf(const base::VmId &from, const LedgerFetchResult &result, ServiceState &state);
-    void settle(const base::VmId &from, const LedgerFetchResult &result, ServiceState &state);
+    void updateEarlierProcess(const base::VmId &from, const LedgerFetchResult &result, ServiceState &state);
+    void resolvePredecessors(const base::VmId &from, const LedgerFetchResult &result, ServiceState &state);
 
-    bool isConcerned(const Predecessor &predecessor, const ServiceState &state, const KeyHash &key) const;
-    bool isVouchedFor(const ServiceState &state, const KeyHash &key) const;
+    bool concernsKey(const Predecessor &predecessor, const ServiceState &state, const KeyHash &key) const;
+    bool isCoveredByHandOver(const ServiceState &state, const KeyHash &key) const;
     base::Duration retentionOf(const ServiceState &state) const;
     base::Duration age() const;
 
-    const IncomingHandOver *actingFor(const ServiceState &state,
-                                      const base::ServiceId &service,
-                                      const KeyHash &key) const;
-    const IncomingHandOver *handedOver(const Predecessor &predecessor, const KeyHash &key) const;
+    const IncomingHandOver *actingHandOver(const ServiceState &state,
+                                           const base::ServiceId &service,
+                                           const KeyHash &key) const;
+    const IncomingHandOver *completedHandOver(const Predecessor &predecessor, const KeyHash &key) const;
     bool isHome(const ServiceState &state, const KeyHash &key) const;
-    std::optional<Gap> gapFor(const base::ServiceId &service,
-                              const ServiceState &state,
-                              const LedgerClaim &claim) const;
-    std::optional<Gap> gapSince(base::TimePoint lost, const ServiceState &state, const LedgerClaim &claim) const;
-    std::optional<base::TimePoint> lostAt(const base::ServiceId &service, const ServiceState &state) const;
-    std::int64_t agoOf(const std::optional<base::TimePoint> &at) const;
+    std::optional<GrantBlock> grantBlockFor(const base::ServiceId &service,
+                                            const ServiceState &state,
+                                            const LedgerClaim &claim) const;
+    std::optional<GrantBlock> grantBlockAfterLoss(base::TimePoint lost,
+                                                  const ServiceState &state,
+                                                  const LedgerClaim &claim) const;
+    std::optional<base::TimePoint> latestLoss(const base::ServiceId &service, const ServiceState &state) const;
+    std::int64_t elapsedSince(const std::optional<base::TimePoint> &at) const;
     std::optional<base::TimePoint> timeOf(std::int64_t ago) const;
 
     bool isOpen(const Predecessor &predecessor, const ServiceState &state, const KeyHash &key) const;
-    bool handOn(const ServiceState &state, const KeyHash &key);
+    bool forwardRecord(const ServiceState &state, const KeyHash &key);
     void handOverService(const base::ServiceId &service, const ServiceState &state);
     void queuePart(const base::VmId &to, LedgerHandOver part);
-    void endHandOver(const base::ServiceId &service, const base::VmId &to);
+    void finishHandOver(const base::ServiceId &service, const base::VmId &to);
     bool isGone(const Predecessor &predecessor) const;
-    bool neverWas(const Predecessor &predecessor) const;
+    bool wasNeverHome(const Predecessor &predecessor) const;
     void tickService(const base::ServiceId &service, ServiceState &state);
 
     template<typename Value>
@@ -194,10 +197,10 @@
     bool m_hasList = false;
     bool m_stopping = false;
     std::unordered_map<base::ServiceId, ServiceState> m_services;
-    std::map<ServiceVm, IncomingHandOver> m_handedToUs;
+    std::map<ServiceVm, IncomingHandOver> m_incomingHandOvers;
     std::vector<OutgoingPart> m_parts; ///< Not acknowledged yet.
-    std::map<ServiceVm, OutgoingHandOver> m_given;
-    std::set<std::pair<base::RequestId, std::uint8_t>> m_handedOn; ///< Late reports and their RecordState, as sent.
+    std::map<ServiceVm, OutgoingHandOver> m_outgoingHandOvers;
+    std::set<std::pair<base::RequestId, std::uint8_t>> m_forwarded; ///< Late reports and their RecordState, as sent.
     std::vector<wire::Outgoing> m_messages;
     base::TimePoint m_lastTick;
 };
--- a/src/include/papayastep/routing/ledgermessages.h
+++ b/src/include/papayastep/routing/ledgermessages.h
@@ -41,12 +41,12 @@
     base::RequestId request; ///< Of the claim that was told to run.
     BodyDigest digest;
     std::uint8_t state = 0; ///< RecordState.
-    std::int64_t left = 0; ///< Until the request's deadline (Running, Released) or until it may be forgotten.
+    std::int64_t remaining = 0; ///< Until the request's deadline (Running, Released) or until it may be forgotten.
     std::int64_t retention = 0;
     StoredAnswer answer;
 
     auto operator<=>(const LedgerRecord &) const = default;
-    MSGPACK_DEFINE(key, workspace, service, request.high, request.low, digest, state, left, retention, answer)
+    MSGPACK_DEFINE(key, workspace, service, request.high, request.low, digest, state, remaining, retention, answer)
 };
 
 /// Entry to home: may I run this? Resent until answered; the same request id gets the same verdict.
@@ -58,12 +58,12 @@
     KeyHash key;
     BodyDigest digest;
     std::int64_t keyTime = 0; ///< Nanoseconds since 1970 of a UUIDv7 key, 0 for any other.
-    std::int64_t left = 0; ///< Until the request's deadline.
+    std::int64_t remaining = 0; ///< Until the request's deadline.
     std::int64_t retention = 0;
     base::Revision revision = 0; ///< By which the entry chose the home.
 
     auto operator<=>(const LedgerClaim &) const = default;
-    MSGPACK_DEFINE(request.high, request.low, workspace, service, key, digest, keyTime, left, retention, revision)
+    MSGPACK_DEFINE(request.high, request.low, workspace, service, key, digest, keyTime, remaining, retention, revision)
 };
 
 enum class ClaimVerdict : std::uint8_t {
@@ -111,7 +111,8 @@
 struct LedgerFetch
 {
     base::ServiceId service;
-    base::ServiceId heldAs; ///< The service that the records belong to at the earlier home; a route may have moved.
+    base::ServiceId
+        sourceService; ///< The service that the records belong to at the earlier home; a route may have moved.
     base::Revision revision = 0;
     base::Revision previousRevision = 0; ///< The one that the asker held before; 0 after a start.
     base::Incarnation incarnation = 0; ///< Of the asker.
@@ -119,40 +120,40 @@
     KeyHash after; ///< Records with greater keys are wanted.
 
     auto operator<=>(const LedgerFetch &) const = default;
-    MSGPACK_DEFINE(service, heldAs, revision, previousRevision, incarnation, vms, after)
+    MSGPACK_DEFINE(service, sourceService, revision, previousRevision, incarnation, vms, after)
 };
 
 /// A page of records for the asker.
 struct LedgerFetchResult
 {
     base::ServiceId service;
-    base::ServiceId heldAs;
+    base::ServiceId sourceService;
     base::Revision revision = 0; ///< Of the fetch.
     base::Incarnation incarnation = 0; ///< Of the asker.
     KeyHash after; ///< Of the fetch.
     std::vector<LedgerRecord> records;
     bool last = false;
-    bool vouches = false; ///< Holds the whole hand-over of the asker's earlier process.
-    bool knewAsker = false; ///< Heard an earlier process of the asker.
+    bool hasFullHandOver = false; ///< Holds the whole hand-over of the asker's earlier process.
+    bool sawEarlierProcess = false; ///< Heard an earlier process of the asker.
     std::int64_t age = 0; ///< Of the answering process.
     std::int64_t memberFor = 0; ///< How long it has been a VM of the service.
     std::int64_t lostAgo = -1; ///< How long ago it may have lost records, -1: not within the retention.
-    std::vector<base::VmId> others; ///< VMs that may have been home too, as far as it knows.
+    std::vector<base::VmId> possibleHomes; ///< VMs that may have been home too, as far as it knows.
 
     auto operator<=>(const LedgerFetchResult &) const = default;
     MSGPACK_DEFINE(service,
-                   heldAs,
+                   sourceService,
                    revision,
                    incarnation,
                    after,
                    records,
                    last,
-                   vouches,
-                   knewAsker,
+                   hasFullHandOver,
+                   sawEarlierProcess,
                    age,
                    memberFor,
                    lostAgo,
-                   others)
+                   possibleHomes)
 };
 
 /// A stopping home to the next one: numbered parts, each acknowledged, and then a last one. It names the process that
--- a/src/include/papayastep/routing/placement.h
+++ b/src/include/papayastep/routing/placement.h
@@ -29,10 +29,10 @@
     base::Duration latency{0}; ///< Typical, without queueing. 0: not known.
     bool pathUsable = true; ///< From here to its VM.
     double failureRisk = 0; ///< How likely it is in a spell of gray failure.
-    base::Duration freshness{0}; ///< Age of the load figures.
+    base::Duration loadAge{0}; ///< Age of the load figures.
     base::Duration idle{0}; ///< How long it has been without a new request; 0: not known.
     /// Wait and run together, as the node beside it says now; goes before the figures above.
-    std::optional<base::Duration> quoted;
+    std::optional<base::Duration> quotedTime;
 
     auto operator<=>(const Candidate &) const = default;
 };
@@ -42,7 +42,7 @@
     base::ZoneId zone; ///< Of the node that places.
     bool idempotent = false;
     std::vector<base::BackendServerId> tried; ///< Servers of earlier attempts, not chosen again.
-    base::Duration wantedIn{0}; ///< An answer after it is worth less to the caller; 0: not stated.
+    base::Duration remainingTarget{0}; ///< An answer after it is worth less to the caller; 0: not stated.
     base::Duration remaining{0}; ///< Until the deadline; 0: not stated.
 
     auto operator<=>(const PlacementRequest &) const = default;
@@ -54,9 +54,9 @@
     OnlyOne,
     Trial,
     LeastCost,
-    AllBad, ///< Nobody is usable, so all that are not drained share the traffic.
+    AllUnhealthy, ///< Nobody is usable, so all that are not drained share the traffic.
     Random, ///< The baseline policy.
-    Nobody, ///< No candidate at all.
+    NoCandidate, ///< No candidate at all.
 };
 
 std::string_view name(PlacementReason reason);
@@ -66,7 +66,7 @@
 {
     std::optional<std::size_t> candidate;
     std::optional<std::size_t> other; ///< The one of two that was not taken.
-    PlacementReason reason = PlacementReason::Nobody;
+    PlacementReason reason = PlacementReason::NoCandidate;
 
     auto operator<=>(const Placement &) const = default;
 };
@@ -181,10 +181,10 @@
 
 /// Whether a serving node hands a queued request over to a sibling, and to which (an index into `siblings`).
 /// Only to one that is usable, fresh, has a free slot, and would be clearly sooner done.
-std::optional<std::size_t> handOver(const Candidate &own,
-                                    std::span<const Candidate> siblings,
-                                    const HandOverRequest &request,
-                                    std::mt19937_64 &random,
-                                    const HandOverSettings &settings = {});
+std::optional<std::size_t> chooseHandOverTarget(const Candidate &own,
+                                                std::span<const Candidate> siblings,
+                                                const HandOverRequest &request,
+                                                std::mt19937_64 &random,
+                                                const HandOverSettings &settings = {});
 
 }
--- a/src/include/papayastep/routing/processtable.h
+++ b/src/include/papayastep/routing/processtable.h
@@ -19,13 +19,13 @@
     explicit ProcessTable(const base::Clock &clock);
 
     /// A message of this process came.
-    void noteHeard(const base::VmId &vm, base::Incarnation incarnation);
+    void recordMessage(const base::VmId &vm, base::Incarnation incarnation);
 
     /// What `answer` of this process proves about an attempt that was sent at `sentAt`.
-    CancelAnswer proven(const base::VmId &vm,
-                        base::Incarnation incarnation,
-                        CancelAnswer answer,
-                        base::TimePoint sentAt) const;
+    CancelAnswer verifiedAnswer(const base::VmId &vm,
+                                base::Incarnation incarnation,
+                                CancelAnswer answer,
+                                base::TimePoint sentAt) const;
 
 private:
     struct Process
--- a/src/include/papayastep/routing/retrybudget.h
+++ b/src/include/papayastep/routing/retrybudget.h
@@ -14,11 +14,11 @@
     double share = 0.2; ///< Retries per first attempt, in the long run.
     base::Duration window = std::chrono::seconds(10); ///< Traffic older than this hardly counts.
     double reservePerSecond = 1; ///< Retries allowed without traffic, so that a rare service can retry at all.
-    double reserve = 5; ///< How many of those may gather.
+    double maxReserve = 5; ///< How many of those may gather.
 
     /// How far an account may go below zero. A node that sees a few requests a second earns a whole retry only every
     /// few seconds, and would mostly have a part of one when it needs it.
-    double debt = 0;
+    double maxDebt = 0;
 
     /// How much faster one workspace may spend than it earns, out of what the others leave. Small fleets see so few
     /// requests of one workspace at one entry that its own part would never make a whole retry.
@@ -38,7 +38,7 @@
 /// One node's part of `limit` in a fleet of `nodes`. What has gathered can be spent at once, on top of what is earned
 /// during the window; so each part is cut until the worst case adds up to the limit: with a memory of half a window,
 /// 0.65 of the ratio over one and a half windows, and 0.3 of the slack twice. The debt takes what is left of the slack.
-RetryBudgetSettings partOf(const FleetRetryLimit &limit, std::size_t nodes);
+RetryBudgetSettings nodeRetryBudget(const FleetRetryLimit &limit, std::size_t nodes);
 
 /// Retries asked for since the start.
 struct RetryBudgetCounters
@@ -75,7 +75,7 @@
     const RetryBudgetCounters &counters() const;
 
     /// Retries that each service seen lately could spend now; below zero: in debt.
-    std::map<base::ServiceId, double> left();
+    std::map<base::ServiceId, double> availableRetries();
 
 private:
     struct Account
--- a/src/include/papayastep/routing/retrypolicy.h
+++ b/src/include/papayastep/routing/retrypolicy.h
@@ -70,8 +70,8 @@
     bool hasIdempotencyKey = false;
     base::TimePoint deadline;
     int maxAttempts = 3; ///< As the route says.
-    int tries = 0; ///< Serving nodes asked so far; the number names the attempt.
-    int attempts = 0; ///< Of these, the ones that reached or may have reached a backend server.
+    int nodeAttempts = 0; ///< Serving nodes asked so far; the number names the attempt.
+    int serverAttempts = 0; ///< Of these, the ones that reached or may have reached a backend server.
     /// Some attempt may have had an effect, so that no later refusal may say not-run.
     bool mayHaveRun = false;
 
@@ -82,12 +82,12 @@
 {
     /// Nodes asked for one request, most of which refuse before their backend server gets it. Each costs a round trip;
     /// of six drawn servers one takes the request unless nearly all are full or ejected.
-    int maxTries = 6;
+    int maxNodeAttempts = 6;
     base::Duration acknowledge = std::chrono::milliseconds(150); ///< A node acknowledges before it queues.
     /// Of the service's typical latency, after which an acknowledged attempt counts as silent. 0: never, where the node
     /// beside the server sees a hang itself. A request that simply takes long is only run once more by giving up on it.
-    double answerMultiple = 4;
-    base::Duration minAnswer = std::chrono::milliseconds(50);
+    double answerTimeoutFactor = 4;
+    base::Duration minAnswerTimeout = std::chrono::milliseconds(50);
     base::Duration cancel = std::chrono::milliseconds(500); ///< The node resends the cancel within it.
     base::Duration defaultRetryAfter = std::chrono::seconds(1);
 };
@@ -116,14 +116,14 @@
     RetryDecision decide(RequestProgress &progress, const AttemptResult &result);
 
     /// After a RetryElsewhere that can't be done (no server left, or no token): the refusal, true over all attempts.
-    Refusal refuseInstead(const RequestProgress &progress, base::ResultCode code, base::Duration retryAfter) const;
+    Refusal refusalFor(const RequestProgress &progress, base::ResultCode code, base::Duration retryAfter) const;
 
     /// `typicalLatency` of the service, queueing included; 0 where not known: then the last attempt's rule holds,
     /// to wait until the deadline. A request with attempts left gives a silent server only a part of its time.
     AttemptTimeouts timeouts(const RequestProgress &progress, base::Duration typicalLatency) const;
 
 private:
-    RetryDecision onProof(RequestProgress &progress, const AttemptResult &result);
+    RetryDecision onProvenNotRun(RequestProgress &progress, const AttemptResult &result);
     RetryDecision onPossibleRun(RequestProgress &progress, const AttemptResult &result);
     RetryDecision onSilence(RequestProgress &progress, const AttemptResult &result);
     RetryDecision refuse(const RequestProgress &progress,
--- a/src/include/papayastep/routing/slotsurvey.h
+++ b/src/include/papayastep/routing/slotsurvey.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "papayastep/base/resultcode.h"
-#include "papayastep/routing/doubtfulserver.h"
+#include "papayastep/routing/grayserverpolicy.h"
 #include "papayastep/routing/placement.h"
 
 #include <iosfwd>
@@ -32,19 +32,19 @@
     std::size_t laterWave = 4;
     /// Waves after which a short queue is as good as a free slot that may be found by more questions.
     int wavesForFreeSlot = 2;
-    std::size_t mostAsked = 14;
+    std::size_t maxAsked = 14;
     /// For the answers of a wave. Ten times the way to another availability zone and back (2.8 ms); a node that has not
     /// answered by then is cut off, paused or overloaded, and no place for a request that can't be repeated.
-    base::Duration patience = std::chrono::milliseconds(28);
+    base::Duration waveTimeout = std::chrono::milliseconds(28);
     /// After the first usable answer, for those from nearer or better servers. One way to another zone and back.
-    base::Duration grace = std::chrono::milliseconds(4);
+    base::Duration graceAfterAnswer = std::chrono::milliseconds(4);
     /// How much dearer than the best the second server of the first wave may be, which is drawn among all such. Without
     /// it the fastest servers of a zone get all work at light load; three of eight well ones got nothing for two
     /// seconds, and what an entry believes of them grows old. Less than the way to another zone costs.
-    double worthExploring = 0.04;
+    double explorationTolerance = 0.04;
     /// Cost that another server of the wave must be able to save for its answer to be waited for. Half of a hop to
     /// another zone.
-    double worthWaiting = 0.025;
+    double minSavingToWait = 0.025;
 };
 
 /// What the nodes asked in a survey said, for logs.
@@ -102,7 +102,7 @@
                const SlotSurveySettings &settings = {});
 
     /// An answer; ignored from a server that was not asked or has answered.
-    void note(const base::BackendServerId &server, const SlotQuote &quote);
+    void recordQuote(const base::BackendServerId &server, const SlotQuote &quote);
 
     SurveyStep next(base::TimePoint now, std::mt19937_64 &random);
 
@@ -114,11 +114,11 @@
     SurveyTally tally() const;
 
 private:
-    std::optional<std::size_t> alikeTo(std::size_t best, std::mt19937_64 &random) const;
+    std::optional<std::size_t> similarCostServer(std::size_t best, std::mt19937_64 &random) const;
     void open(std::size_t index, base::TimePoint now, std::vector<std::size_t> &wave);
     std::vector<std::size_t> nextWave(base::TimePoint now, std::mt19937_64 &random);
     std::optional<std::size_t> best(base::Duration longestWait, bool held = false) const;
-    std::optional<std::size_t> atOnce() const;
+    std::optional<std::size_t> immediateChoice() const;
     double costOf(std::size_t index) const;
     SurveyStep take(std::size_t index, bool lastResort = false) const;
     SurveyStep giveUp() const;
@@ -127,9 +127,9 @@
     std::vector<Candidate> m_candidates;
     PlacementRequest m_request;
     SlotSurveySettings m_settings;
-    DoubtfulServerPolicy m_doubtful;
+    GrayServerPolicy m_grayPolicy;
     std::vector<std::optional<SlotQuote>> m_quotes;
-    std::map<std::size_t, base::TimePoint> m_open; ///< Asked, no answer yet, and since when.
+    std::map<std::size_t, base::TimePoint> m_pending; ///< Asked, no answer yet, and since when.
     std::size_t m_asked = 0;
     int m_waves = 0;
     bool m_waiting = false; ///< For the answers of a wave.
@@ -139,15 +139,15 @@
 };
 
 /// Remembers nodes that did not answer, so that others are asked first for a while.
-class SilenceBook
+class SilentNodes
 {
 public:
-    explicit SilenceBook(const base::Clock &clock);
+    explicit SilentNodes(const base::Clock &clock);
 
     /// Whether it was heard of since it was last silent.
-    bool noteSilent(const base::VmId &vm);
+    bool markSilent(const base::VmId &vm);
     /// Whether it was silent before.
-    bool noteHeard(const base::VmId &vm);
+    bool markResponsive(const base::VmId &vm);
     bool isSilent(const base::VmId &vm) const;
 
 private:
@@ -157,25 +157,25 @@
 
 /// Remembers how long servers had been without work when their nodes were asked last, so that the next request goes
 /// there first.
-class IdleBook
+class ServerIdleTimes
 {
 public:
-    explicit IdleBook(const base::Clock &clock);
+    explicit ServerIdleTimes(const base::Clock &clock);
 
-    void note(const base::BackendServerId &server, base::Duration idle);
+    void record(const base::BackendServerId &server, base::Duration idle);
     /// 0 where nothing was heard lately.
     base::Duration idle(const base::BackendServerId &server) const;
     void expire();
 
 private:
-    struct Told
+    struct IdleReport
     {
         base::Duration idle;
-        base::TimePoint heardAt;
+        base::TimePoint receivedAt;
     };
 
     const base::Clock &m_clock;
-    std::map<base::BackendServerId, Told> m_told;
+    std::map<base::BackendServerId, IdleReport> m_reports;
 };
 
 }
--- a/src/node/attemptwatch.cpp
+++ b/src/node/attemptwatch.cpp
@@ -143,7 +143,7 @@
         }
         return routing::AttemptResult{AttemptEvent::CancelStarted, ResultCode::Ok, {}};
     case routing::CancelAnswer::HandedOver:
-    case routing::CancelAnswer::NoPromise:
+    case routing::CancelAnswer::Unconfirmed:
         break;
     }
     return routing::AttemptResult{AttemptEvent::CancelUnanswered, ResultCode::OutcomeUnknown, {}};
--- a/src/node/candidates.cpp
+++ b/src/node/candidates.cpp
@@ -19,7 +19,7 @@
     candidate.latency = view.latency;
     candidate.failureRisk = context.gray.probability(server.id);
     candidate.idle = context.idle.idle(server.id);
-    candidate.freshness = view.age.value_or(base::Duration::zero());
+    candidate.loadAge = view.age.value_or(base::Duration::zero());
     candidate.drained = server.drain || context.isLeaving(server.vm)
         || view.availability == health::Availability::Draining || view.availability == health::Availability::Gone;
     const bool known = server.vm == context.settings.vm || context.vms.find(server.vm) != nullptr;
--- a/src/node/collectmetrics.cpp
+++ b/src/node/collectmetrics.cpp
@@ -117,7 +117,7 @@
     metrics.setTotal("retries_refused", real(retries.refusedByWorkspace), {{"budget", "workspace"}});
     metrics.clear("retry_budget_left");
     std::map<std::string, double> least;
-    for (const auto &[service, left] : m_context.retryBudget.left()) {
+    for (const auto &[service, left] : m_context.retryBudget.availableRetries()) {
         const auto [place, isNew] = least.try_emplace(metrics.serviceLabel(service), left);
         place->second = std::min(place->second, left);
     }
--- a/src/node/entryhandler.cpp
+++ b/src/node/entryhandler.cpp
@@ -57,7 +57,7 @@
 void EntryHandler::deliver(const wire::CancelResult &result, const Proof &proven)
 {
     const auto found = m_open.find({result.requestHigh, result.requestLow});
-    const bool known = result.answer <= static_cast<std::uint8_t>(routing::CancelAnswer::NoPromise);
+    const bool known = result.answer <= static_cast<std::uint8_t>(routing::CancelAnswer::Unconfirmed);
     if (found != m_open.end() && known) {
         found->second->cancelAnswered(
             static_cast<int>(result.attempt), static_cast<routing::CancelAnswer>(result.answer), proven);
--- a/src/node/entryrequest.cpp
+++ b/src/node/entryrequest.cpp
@@ -344,7 +344,7 @@
     }
     if (const auto *none = std::get_if<NoServer>(&choice)) {
         m_heard = none->heard;
-        co_return m_context.retryPolicy.refuseInstead(m_progress, none->code, none->retryAfter);
+        co_return m_context.retryPolicy.refusalFor(m_progress, none->code, none->retryAfter);
     }
     begin(std::get<ChosenServer>(choice));
     co_return std::nullopt;
@@ -408,7 +408,7 @@
     wire::HopRequest hop;
     hop.requestHigh = m_id.high;
     hop.requestLow = m_id.low;
-    hop.attempt = static_cast<std::uint32_t>(m_progress.tries);
+    hop.attempt = static_cast<std::uint32_t>(m_progress.nodeAttempts);
     hop.entry = m_context.settings.vm;
     hop.entryIncarnation = m_context.incarnation;
     hop.workspace = m_workspace;
@@ -467,7 +467,7 @@
         if (m_watch.attempt()->finished()) {
             // Nothing more will be heard of it, and nothing proves that it did not run.
             m_progress.mayHaveRun = true;
-            co_await refuse(m_context.retryPolicy.refuseInstead(m_progress, ResultCode::OutcomeUnknown, {}));
+            co_await refuse(m_context.retryPolicy.refusalFor(m_progress, ResultCode::OutcomeUnknown, {}));
             co_return true;
         }
         m_machine.handle(RequestEvent::CancelFailed);
@@ -493,7 +493,7 @@
     m_watch.abandon();
     Step refused = co_await payRepeat();
     if (refused) {
-        co_await refuse(m_context.retryPolicy.refuseInstead(m_progress, refused->code, refused->retryAfter));
+        co_await refuse(m_context.retryPolicy.refusalFor(m_progress, refused->code, refused->retryAfter));
         co_return true;
     }
     refused = co_await place();
@@ -591,7 +591,7 @@
 {
     countEnd(EndedRequest::givenUpOutcome, ResultCode::Ok);
     PAPAYASTEP_LOG(INFO, logPrefix) << "Gave a request up." << base::field("request", shownId())
-                                    << base::field("reason", reason) << base::field("attempts", m_progress.tries)
+                                    << base::field("reason", reason) << base::field("attempts", m_progress.nodeAttempts)
                                     << base::field("tookMs", milliseconds(m_context.clock.now() - m_arrived));
 }
 
@@ -607,15 +607,16 @@
     const routing::Candidate &server = chosen.candidate;
     const auto left = m_progress.deadline - m_context.clock.now();
     PAPAYASTEP_LOG(INFO, logPrefix) << "Placed an attempt." << base::field("request", shownId())
-                                    << base::field("hop", m_id) << base::field("attempt", m_progress.tries)
+                                    << base::field("hop", m_id) << base::field("attempt", m_progress.nodeAttempts)
                                     << base::field("workspace", m_workspace) << base::field("route", m_route->id)
                                     << base::field("server", server.server) << base::field("vm", server.vm)
                                     << base::field("reason", chosen.reason) << base::field("asked", chosen.asked)
-                                    << base::field("quotedMs", milliseconds(server.quoted.value_or(base::Duration(0))))
+                                    << base::field("quotedMs",
+                                                   milliseconds(server.quotedTime.value_or(base::Duration(0))))
                                     << base::field("slotsInUse", server.slotsInUse)
                                     << base::field("queued", server.queueLength)
                                     << base::field("grayPercent", std::lround(100 * server.failureRisk))
-                                    << base::field("ageMs", milliseconds(server.freshness))
+                                    << base::field("ageMs", milliseconds(server.loadAge))
                                     << base::field("revision", m_inForce.configuration->revision())
                                     << base::field("leftMs", milliseconds(left));
     if (chosen.lastResort && chosen.heard.asked > 0) {
@@ -629,7 +630,7 @@
 {
     PAPAYASTEP_LOG(INFO, logPrefix) << "Answered a request." << base::field("request", shownId())
                                     << base::field("status", status) << base::field("server", server)
-                                    << base::field("attempts", m_progress.tries)
+                                    << base::field("attempts", m_progress.nodeAttempts)
                                     << base::field("tookMs", milliseconds(m_context.clock.now() - m_arrived));
 }
 
@@ -637,8 +638,9 @@
 void EntryRequest::logStay(std::string_view reason) const
 {
     PAPAYASTEP_LOG(INFO, logPrefix) << "Stays with a silent attempt." << base::field("request", shownId())
-                                    << base::field("attempt", m_progress.tries) << base::field("server", m_current)
-                                    << base::field("reason", reason) << base::field("heard", m_heard);
+                                    << base::field("attempt", m_progress.nodeAttempts)
+                                    << base::field("server", m_current) << base::field("reason", reason)
+                                    << base::field("heard", m_heard);
 }
 
 /// Refusals that are proved not to have run come by the hundred in an overload and are summed up; one whose outcome is
@@ -653,7 +655,8 @@
                                        << base::field("hop", m_id) << base::field("workspace", m_workspace)
                                        << base::field("code", number(refusal.code))
                                        << base::field("outcome", routing::name(refusal.outcome))
-                                       << base::field("server", m_current) << base::field("attempts", m_progress.tries)
+                                       << base::field("server", m_current)
+                                       << base::field("attempts", m_progress.nodeAttempts)
                                        << base::field("retryAfterMs", milliseconds(refusal.retryAfter))
                                        << base::field("tookMs", milliseconds(m_context.clock.now() - m_arrived))
                                        << inputsOf(refusal);
@@ -711,7 +714,7 @@
 /// away must not hold the answer back for long: the report is resent meanwhile.
 net::Awaitable<void> EntryRequest::awaitRecord()
 {
-    const auto limit = std::min(m_progress.deadline, m_context.clock.now() + m_context.ledgerClient.recordPatience());
+    const auto limit = std::min(m_progress.deadline, m_context.clock.now() + m_context.ledgerClient.recordTimeout());
     while (m_context.ledgerClient.isReporting(m_id)) {
         if (m_context.clock.now() >= limit) {
             PAPAYASTEP_LOG(INFO, "ledger")
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -227,7 +227,7 @@
 
 void Node::dispatch(const wire::Envelope &envelope)
 {
-    m_processes.noteHeard(envelope.sender, envelope.incarnation);
+    m_processes.recordMessage(envelope.sender, envelope.incarnation);
     const bool stranger = !m_directory.isListed(envelope.sender);
     if (!stranger) {
         m_directory.noteHeard(envelope.sender, envelope.incarnation);
@@ -251,7 +251,7 @@
         const wire::SlotOffer offer = m_serving.offerFor(wire::decode<wire::SlotAsk>(envelope.payload));
         m_peers.send(wire::outgoing(envelope.sender, wire::MessageKind::SlotOffer, offer));
     } else if (envelope.kind == wire::MessageKind::SlotOffer) {
-        if (m_context.silence.noteHeard(envelope.sender)) {
+        if (m_context.silence.markResponsive(envelope.sender)) {
             PAPAYASTEP_LOG(INFO, "health") << "A node answers again." << base::field("vm", envelope.sender);
         }
         m_entry.deliver(wire::decode<wire::SlotOffer>(envelope.payload));
@@ -273,7 +273,7 @@
     if (envelope.kind == wire::MessageKind::CancelResult) {
         const auto result = wire::decode<wire::CancelResult>(envelope.payload);
         m_entry.deliver(result, [&](routing::CancelAnswer answer, base::TimePoint sentAt) {
-            return m_processes.proven(envelope.sender, envelope.incarnation, answer, sentAt);
+            return m_processes.verifiedAnswer(envelope.sender, envelope.incarnation, answer, sentAt);
         });
         return;
     }
@@ -399,7 +399,8 @@
 void Node::applyRetryLimit()
 {
     if (m_context.settings.retryLimit) {
-        m_context.retryBudget.setSettings(routing::partOf(*m_context.settings.retryLimit, m_context.vms.vms.size()));
+        m_context.retryBudget.setSettings(
+            routing::nodeRetryBudget(*m_context.settings.retryLimit, m_context.vms.vms.size()));
     }
 }
 
--- a/src/node/nodecontext.cpp
+++ b/src/node/nodecontext.cpp
@@ -46,7 +46,7 @@
 routing::RetrySettings retrySettings()
 {
     routing::RetrySettings settings;
-    settings.answerMultiple = 0; // ServingNode gives up on what hangs.
+    settings.answerTimeoutFactor = 0; // ServingNode gives up on what hangs.
     return settings;
 }
 
--- a/src/node/serverchoice.cpp
+++ b/src/node/serverchoice.cpp
@@ -52,9 +52,9 @@
 void ServerChoice::slotOffered(const wire::SlotOffer &offer)
 {
     m_context.gray.note(offer.server, quoteOf(offer).failureRisk);
-    m_context.idle.note(offer.server, quoteOf(offer).idle);
+    m_context.idle.record(offer.server, quoteOf(offer).idle);
     if (m_survey) {
-        m_survey->note(offer.server, quoteOf(offer));
+        m_survey->recordQuote(offer.server, quoteOf(offer));
         m_changed.notify();
     }
 }
@@ -76,7 +76,7 @@
     routing::PlacementRequest request{m_context.settings.zone, need.idempotent, m_tried};
     request.remaining = need.deadline - now;
     if (need.wanted) {
-        request.wantedIn = *need.wanted - now;
+        request.remainingTarget = *need.wanted - now;
     }
     return request;
 }
@@ -170,7 +170,7 @@
 {
     for (const std::size_t index : m_survey->silent(m_context.clock.now())) {
         const base::VmId &vm = m_survey->candidate(index).vm;
-        if (m_context.silence.noteSilent(vm)) {
+        if (m_context.silence.markSilent(vm)) {
             PAPAYASTEP_LOG(INFO, "health") << "A node does not answer." << base::field("vm", vm);
         }
     }
--- a/src/node/servingnode.cpp
+++ b/src/node/servingnode.cpp
@@ -549,18 +549,19 @@
 {
     const routing::AttemptId id{work.hop.requestId(), static_cast<int>(work.hop.attempt)};
     const routing::SentStamp stamp{work.hop.entry, work.hop.entryIncarnation, base::Duration(work.hop.sent)};
-    const routing::Begin begin = m_registry.begin(id, stamp, base::Duration(work.hop.remaining));
+    const routing::AttemptRegistration begin
+        = m_registry.registerAttempt(id, stamp, base::Duration(work.hop.remaining));
     work.deadline = begin.deadline;
     switch (begin.result) {
-    case routing::BeginResult::Accepted:
+    case routing::RegistrationResult::Accepted:
         return std::nullopt;
-    case routing::BeginResult::Replayed:
+    case routing::RegistrationResult::Replayed:
         return ResultCode::HopReplayed;
-    case routing::BeginResult::Cancelled:
+    case routing::RegistrationResult::Cancelled:
         return ResultCode::HopCancelled;
-    case routing::BeginResult::TooLate:
+    case routing::RegistrationResult::TooLate:
         return ResultCode::HopQueueTimeout;
-    case routing::BeginResult::Full:
+    case routing::RegistrationResult::Full:
         return ResultCode::HopQueueFull;
     }
     return ResultCode::Internal;
@@ -855,7 +856,7 @@
     const auto candidates = candidatesOf(m_context, server->service);
     routing::PlacementRequest request{m_context.settings.zone, work.hop.idempotent, {work.hop.server}};
     request.remaining = base::Duration(work.hop.remaining);
-    request.wantedIn = base::Duration(work.hop.wantedIn);
+    request.remainingTarget = base::Duration(work.hop.wantedIn);
     const auto placement = m_context.placement->place(candidates, request, m_context.random);
     return placement.candidate ? candidates[*placement.candidate].server : base::BackendServerId();
 }
--- a/src/routing/attemptregistry.cpp
+++ b/src/routing/attemptregistry.cpp
@@ -28,7 +28,7 @@
         return "done";
     case CancelAnswer::HandedOver:
         return "handed-over";
-    case CancelAnswer::NoPromise:
+    case CancelAnswer::Unconfirmed:
         return "no-promise";
     }
     return "no-promise";
@@ -49,7 +49,9 @@
     m_expiry.push(Expiry{deadline + remaining / guardDivisor + guard, id});
 }
 
-Begin AttemptRegistry::begin(const AttemptId &id, const SentStamp &stamp, base::Duration remaining)
+AttemptRegistration AttemptRegistry::registerAttempt(const AttemptId &id,
+                                                     const SentStamp &stamp,
+                                                     base::Duration remaining)
 {
     tick();
     const base::Duration delay = m_delay.observe(stamp);
@@ -58,16 +60,16 @@
     const auto known = m_entries.find(id);
     if (known != m_entries.end()) {
         const bool cancelled = known->second.state == State::NeverStarts;
-        return Begin{cancelled ? BeginResult::Cancelled : BeginResult::Replayed, deadline};
+        return AttemptRegistration{cancelled ? RegistrationResult::Cancelled : RegistrationResult::Replayed, deadline};
     }
     if (deadline <= now) {
-        return Begin{BeginResult::TooLate, deadline};
+        return AttemptRegistration{RegistrationResult::TooLate, deadline};
     }
     if (m_entries.size() + m_settings.cancelReserve >= m_settings.capacity) {
-        return Begin{BeginResult::Full, deadline};
+        return AttemptRegistration{RegistrationResult::Full, deadline};
     }
     remember(id, State::Queued, deadline);
-    return Begin{BeginResult::Accepted, deadline};
+    return AttemptRegistration{RegistrationResult::Accepted, deadline};
 }
 
 bool AttemptRegistry::start(const AttemptId &id)
@@ -120,7 +122,7 @@
     const auto known = m_entries.find(id);
     if (known == m_entries.end()) {
         if (m_entries.size() >= m_settings.capacity) {
-            return CancelAnswer::NoPromise;
+            return CancelAnswer::Unconfirmed;
         }
         // The delay of the cancel is not taken off here: to remember longer does no harm.
         const base::Duration bounded = std::clamp(remaining, base::Duration::zero(), longestMemory);
@@ -140,7 +142,7 @@
     case State::HandedOver:
         return CancelAnswer::HandedOver;
     }
-    return CancelAnswer::NoPromise;
+    return CancelAnswer::Unconfirmed;
 }
 
 void AttemptRegistry::tick()
--- a/src/routing/attemptregistry_test.cpp
+++ b/src/routing/attemptregistry_test.cpp
@@ -24,9 +24,9 @@
     {
         return AttemptId{base::RequestId{0, static_cast<std::uint64_t>(number)}, attempt};
     }
-    BeginResult begin(int number, base::Duration remaining = 5s, base::Duration ago = 0s)
+    RegistrationResult begin(int number, base::Duration remaining = 5s, base::Duration ago = 0s)
     {
-        return registry.begin(id(number), stampOf(ago), remaining).result;
+        return registry.registerAttempt(id(number), stampOf(ago), remaining).result;
     }
     CancelAnswer cancel(int number, base::Duration remaining = 5s, base::Duration ago = 0s)
     {
@@ -38,8 +38,8 @@
 
 BOOST_FIXTURE_TEST_CASE(registry_withAttempt_followsIt, RegistryFixture)
 {
-    BOOST_TEST((begin(1) == BeginResult::Accepted));
-    BOOST_TEST((begin(1) == BeginResult::Replayed));
+    BOOST_TEST((begin(1) == RegistrationResult::Accepted));
+    BOOST_TEST((begin(1) == RegistrationResult::Replayed));
     BOOST_TEST(registry.start(id(1)));
     BOOST_TEST(!registry.start(id(1)));
     BOOST_TEST((cancel(1) == CancelAnswer::Started));
@@ -60,7 +60,7 @@
 {
     BOOST_TEST((cancel(1) == CancelAnswer::NeverStarted));
     clock.advance(4s);
-    BOOST_TEST((begin(1, 5s, 4s) == BeginResult::Cancelled));
+    BOOST_TEST((begin(1, 5s, 4s) == RegistrationResult::Cancelled));
 }
 
 // The hop is held up for far longer than the request's deadline, by a paused process or a sick network. The promise
@@ -79,8 +79,8 @@
     RC_ASSERT(registry.cancel(id(1), stampOf(), remaining - cancelAfter) == CancelAnswer::NeverStarted);
     clock.advance(late);
     registry.tick();
-    const auto result = registry.begin(id(1), sent, remaining).result;
-    RC_ASSERT(result == BeginResult::Cancelled || result == BeginResult::TooLate);
+    const auto result = registry.registerAttempt(id(1), sent, remaining).result;
+    RC_ASSERT(result == RegistrationResult::Cancelled || result == RegistrationResult::TooLate);
 }
 
 // A request waits in a queue past its deadline. Its caller has gone, so running it would only do harm.
@@ -108,18 +108,18 @@
 BOOST_FIXTURE_TEST_CASE(registry_whenFull_refusesInsteadOfForgetting, RegistryFixture)
 {
     for (int i = 0; i < 7; ++i) {
-        BOOST_TEST((begin(i) == BeginResult::Accepted));
+        BOOST_TEST((begin(i) == RegistrationResult::Accepted));
     }
-    BOOST_TEST((begin(100) == BeginResult::Full));
+    BOOST_TEST((begin(100) == RegistrationResult::Full));
     for (int i = 10; i < 13; ++i) {
         BOOST_TEST((cancel(i) == CancelAnswer::NeverStarted));
     }
-    BOOST_TEST((cancel(13) == CancelAnswer::NoPromise));
+    BOOST_TEST((cancel(13) == CancelAnswer::Unconfirmed));
     BOOST_TEST((cancel(3) == CancelAnswer::NeverStarted));
     clock.advance(7s);
     registry.tick();
     BOOST_TEST(registry.size() == 0u);
-    BOOST_TEST((begin(100) == BeginResult::Accepted));
+    BOOST_TEST((begin(100) == RegistrationResult::Accepted));
 }
 
 BOOST_FIXTURE_TEST_CASE(hopDelay_withSlowMessage_showsItsDelay, RegistryFixture)
--- a/src/routing/hopdelay.cpp
+++ b/src/routing/hopdelay.cpp
@@ -23,20 +23,20 @@
     const auto [position, isNew]
         = m_offsets.try_emplace({stamp.sender, stamp.incarnation}, Offset{difference, now, now});
     Offset &offset = position->second;
-    offset.heard = now;
-    const base::Duration allowed = offset.least + (now - offset.since) / driftDivisor;
-    if (isNew || difference <= allowed) {
-        offset.least = difference;
+    offset.lastReceived = now;
+    const base::Duration allowedDifference = offset.minimum + (now - offset.since) / driftDivisor;
+    if (isNew || difference <= allowedDifference) {
+        offset.minimum = difference;
         offset.since = now;
         return base::Duration::zero();
     }
-    return difference - allowed;
+    return difference - allowedDifference;
 }
 
 void HopDelay::tick()
 {
     const auto now = m_clock.now();
-    std::erase_if(m_offsets, [&](const auto &entry) { return now - entry.second.heard > forgetAfter; });
+    std::erase_if(m_offsets, [&](const auto &entry) { return now - entry.second.lastReceived > forgetAfter; });
 }
 
 std::size_t HopDelay::size() const
--- a/src/routing/idempotencyledger.cpp
+++ b/src/routing/idempotencyledger.cpp
@@ -84,7 +84,7 @@
     return record.state == RecordState::Running && isLate ? RecordState::Unknown : record.state;
 }
 
-base::TimePoint IdempotencyLedger::endOf(const Record &record) const
+base::TimePoint IdempotencyLedger::expiryOf(const Record &record) const
 {
     switch (record.state) {
     case RecordState::Running:
@@ -99,9 +99,9 @@
     return record.until;
 }
 
-bool IdempotencyLedger::isOver(const Record &record) const
+bool IdempotencyLedger::isExpired(const Record &record) const
 {
-    return m_clock.now() >= endOf(record);
+    return m_clock.now() >= expiryOf(record);
 }
 
 bool IdempotencyLedger::hasRoom(const base::WorkspaceId &workspace, std::size_t bytes) const
@@ -113,7 +113,7 @@
 std::optional<ClaimAnswer> IdempotencyLedger::lookUp(const LedgerClaim &claim) const
 {
     const auto found = m_records.find(claim.key);
-    if (found == m_records.end() || isOver(found->second)) {
+    if (found == m_records.end() || isExpired(found->second)) {
         return std::nullopt;
     }
     const Record &record = found->second;
@@ -174,7 +174,7 @@
     record.request = claim.request;
     record.digest = claim.digest;
     record.state = static_cast<std::uint8_t>(RecordState::Running);
-    record.left = claim.left;
+    record.remaining = claim.remaining;
     record.retention = claim.retention;
     put(record);
     return ClaimAnswer{ClaimVerdict::Run, {}, {}};
@@ -182,12 +182,12 @@
 
 IdempotencyLedger::Record &IdempotencyLedger::put(const LedgerRecord &from)
 {
-    const auto use = m_use.try_emplace(from.workspace).first;
+    const auto use = m_usage.try_emplace(from.workspace).first;
     Record &record = m_records[from.key];
     record.request = from.request;
     record.digest = from.digest;
     record.state = checkedState(from.state);
-    record.until = m_clock.now() + bounded(from.left);
+    record.until = m_clock.now() + bounded(from.remaining);
     record.retention = bounded(from.retention);
     record.workspace = &*use;
     record.service = &*m_services.insert(from.service).first;
@@ -220,11 +220,11 @@
 IdempotencyLedger::RecordMap::iterator IdempotencyLedger::erase(RecordMap::iterator position)
 {
     const std::size_t bytes = bytesOf(position->second);
-    UseMap::value_type &use = *position->second.workspace;
+    UsageMap::value_type &use = *position->second.workspace;
     m_bytes -= bytes;
     use.second.bytes -= bytes;
     if (--use.second.records == 0) {
-        m_use.erase(base::WorkspaceId(use.first));
+        m_usage.erase(base::WorkspaceId(use.first));
     }
     return m_records.erase(position);
 }
@@ -233,7 +233,7 @@
 {
     const RecordState state = checkedState(report.state);
     const auto known = m_records.find(report.key);
-    if (known == m_records.end() || isOver(known->second)) {
+    if (known == m_records.end() || isExpired(known->second)) {
         return merge(report);
     }
     Record &record = known->second;
@@ -264,7 +264,7 @@
 {
     const RecordState state = checkedState(record.state);
     const auto known = m_records.find(record.key);
-    if (known != m_records.end() && !isOver(known->second)) {
+    if (known != m_records.end() && !isExpired(known->second)) {
         const bool sameRequest = known->second.request == record.request;
         const bool freed
             = sameRequest && state == RecordState::Released && stateOf(known->second) == RecordState::Running;
@@ -295,7 +295,7 @@
     result.request = record.request;
     result.digest = record.digest;
     result.state = static_cast<std::uint8_t>(record.state);
-    result.left = nanoseconds(record.until - m_clock.now());
+    result.remaining = nanoseconds(record.until - m_clock.now());
     result.retention = nanoseconds(record.retention);
     if (record.answer) {
         result.answer = *record.answer;
@@ -311,10 +311,10 @@
     last = true;
     const bool fromStart = after == KeyHash();
     for (auto i = fromStart ? m_records.begin() : m_records.upper_bound(after); i != m_records.end(); ++i) {
-        if (isOver(i->second) || !wanted(i->first, *i->second.service)) {
+        if (isExpired(i->second) || !wanted(i->first, *i->second.service)) {
             continue;
         }
-        if (bytes >= m_settings.partBytes) {
+        if (bytes >= m_settings.maxPartBytes) {
             last = false;
             break;
         }
@@ -327,7 +327,7 @@
 std::optional<LedgerRecord> IdempotencyLedger::record(const KeyHash &key) const
 {
     const auto found = m_records.find(key);
-    if (found == m_records.end() || isOver(found->second)) {
+    if (found == m_records.end() || isExpired(found->second)) {
         return std::nullopt;
     }
     return exported(key, found->second);
@@ -336,7 +336,7 @@
 bool IdempotencyLedger::contains(const KeyHash &key) const
 {
     const auto found = m_records.find(key);
-    return found != m_records.end() && !isOver(found->second);
+    return found != m_records.end() && !isExpired(found->second);
 }
 
 void IdempotencyLedger::tick()
@@ -352,7 +352,7 @@
             position = m_records.begin();
         }
         m_sweptTo = position->first;
-        position = isOver(position->second) ? erase(position) : std::next(position);
+        position = isExpired(position->second) ? erase(position) : std::next(position);
     }
 }
 
@@ -368,8 +368,8 @@
 
 std::size_t IdempotencyLedger::bytesOf(const base::WorkspaceId &workspace) const
 {
-    const auto use = m_use.find(workspace);
-    return use == m_use.end() ? 0 : use->second.bytes;
+    const auto use = m_usage.find(workspace);
+    return use == m_usage.end() ? 0 : use->second.bytes;
 }
 
 }
--- a/src/routing/leastcostplacement.cpp
+++ b/src/routing/leastcostplacement.cpp
@@ -95,7 +95,7 @@
                                     const PlacementRequest &request,
                                     std::mt19937_64 &random) const
 {
-    const double looked = static_cast<double>(m_settings.mostScored) / static_cast<double>(candidates.size() + 1);
+    const double looked = static_cast<double>(m_settings.maxScored) / static_cast<double>(candidates.size() + 1);
     Placement placement;
     int bestRank = std::numeric_limits<int>::max();
     double bestCost = std::numeric_limits<double>::max();
@@ -120,7 +120,7 @@
         return {};
     }
     const bool near = candidates[*placement.candidate].zone == request.zone;
-    placement.reason = bestRank > 0 ? PlacementReason::AllBad
+    placement.reason = bestRank > 0 ? PlacementReason::AllUnhealthy
         : near                      ? PlacementReason::SameZone
                                     : PlacementReason::LeastCost;
     return placement;
@@ -133,20 +133,20 @@
 
 double LeastCostPlacement::cost(const Candidate &candidate, const PlacementRequest &request, double noise) const
 {
-    const base::Duration expected = stretched(waitAndRun(candidate), noise);
-    double total = seconds(expected) * m_settings.costPerSecond + lateness(expected, request);
+    const base::Duration expected = stretched(expectedResponseTime(candidate), noise);
+    double total = seconds(expected) * m_settings.costPerSecond + expectedDelayCost(expected, request);
     const double risk = std::max(0.0, candidate.failureRisk - usualRisk);
     total += risk * (request.idempotent ? m_settings.repeatCost : m_settings.lossCost);
     if (request.idempotent && candidate.failureRisk <= heldRisk) {
-        total -= m_settings.scoutGain * std::min(1.0, risk / (trialRisk - usualRisk));
+        total -= m_settings.recoveryProbeGain * std::min(1.0, risk / (trialRisk - usualRisk));
     }
-    total -= gainOfUse(candidate, request);
+    total -= explorationGain(candidate, request);
     total += candidate.vm != m_self ? m_settings.hopCost : 0;
     total += candidate.zone != request.zone ? m_settings.zoneCost : 0;
     return total;
 }
 
-double LeastCostPlacement::gainOfUse(const Candidate &candidate, const PlacementRequest &request) const
+double LeastCostPlacement::explorationGain(const Candidate &candidate, const PlacementRequest &request) const
 {
     if (wouldBeHeldBack(candidate, request)) {
         return 0;
@@ -154,25 +154,25 @@
     return m_settings.idleGain * std::min(1.0, seconds(candidate.idle) / seconds(m_settings.idleAfter));
 }
 
-double LeastCostPlacement::lateness(base::Duration expected, const PlacementRequest &request) const
+double LeastCostPlacement::expectedDelayCost(base::Duration expected, const PlacementRequest &request) const
 {
     const bool hasDeadline = request.remaining > base::Duration::zero();
     const double lost = hasDeadline ? probabilityAfter(expected, request.remaining) : 0;
     // A time that has passed already makes all servers alike, and only the deadline counts.
-    const bool isWanted = request.wantedIn > base::Duration::zero();
-    const double late = isWanted ? probabilityAfter(expected, request.wantedIn) : 0;
+    const bool isWanted = request.remainingTarget > base::Duration::zero();
+    const double late = isWanted ? probabilityAfter(expected, request.remainingTarget) : 0;
     return lost * m_settings.lossCost + (1 - lost) * late * m_settings.lateCost;
 }
 
-base::Duration LeastCostPlacement::waitAndRun(const Candidate &candidate) const
+base::Duration LeastCostPlacement::expectedResponseTime(const Candidate &candidate) const
 {
-    if (candidate.quoted) {
-        return *candidate.quoted;
+    if (candidate.quotedTime) {
+        return *candidate.quotedTime;
     }
     const bool known = candidate.latency > base::Duration::zero();
     const base::Duration latency = known ? candidate.latency : m_settings.defaultLatency;
     const double slots = std::max(candidate.slots, 1);
-    const bool stale = candidate.freshness > m_settings.staleAfter;
+    const bool stale = candidate.loadAge > m_settings.staleAfter;
     const double busy = stale ? std::max<double>(candidate.slotsInUse, unknownLoad * slots)
                               : candidate.slotsInUse + candidate.queueLength;
     const double load = busy / slots;
--- a/src/routing/leastcostplacement_test.cpp
+++ b/src/routing/leastcostplacement_test.cpp
@@ -20,7 +20,7 @@
     {
         request.zone = base::ZoneId("arima");
         request.remaining = 2s;
-        request.wantedIn = 1200ms;
+        request.remainingTarget = 1200ms;
         for (int i = 0; i < 6; ++i) {
             Candidate candidate;
             candidate.server = base::BackendServerId("server-" + std::to_string(i));
@@ -121,7 +121,7 @@
     }
     const Placement placement = policy.place(candidates, request, random);
     BOOST_TEST(placement.candidate.has_value());
-    BOOST_TEST((placement.reason == PlacementReason::AllBad));
+    BOOST_TEST((placement.reason == PlacementReason::AllUnhealthy));
 }
 
 BOOST_FIXTURE_TEST_CASE(leastCost_withDrainedOrTriedServersOnly_choosesNone, PlacementFixture)
@@ -144,7 +144,7 @@
     std::vector<RetryBudget> budgets;
     budgets.reserve(nodes);
     for (int i = 0; i < nodes; ++i) {
-        budgets.emplace_back(clock, partOf(limit, nodes));
+        budgets.emplace_back(clock, nodeRetryBudget(limit, nodes));
     }
     const base::ServiceId service("booking");
     const base::WorkspaceId workspace("clubs");
--- a/src/routing/ledger_test.cpp
+++ b/src/routing/ledger_test.cpp
@@ -473,7 +473,7 @@
     BOOST_TEST(ask(0, during, "refund 7", {1}) == "run");
     start(1);
     settle();
-    BOOST_TEST(node(1).home->isCovered(service));
+    BOOST_TEST(node(1).home->hasResolvedEarlierHomes(service));
     BOOST_TEST(ask(2, key) == "answer paid");
     BOOST_TEST(ask(2, during) == "unknown IdempotencyRunning");
     BOOST_TEST(ask(2, keyAt(1, 2)) == "run");
@@ -695,7 +695,7 @@
     report.key.bytes[0] = 1;
     report.workspace = workspace;
     report.service = service;
-    report.left = base::Duration(10s).count();
+    report.remaining = base::Duration(10s).count();
     report.retention = base::Duration(1h).count();
     report.request.low = 2;
     report.state = static_cast<std::uint8_t>(RecordState::Released);
--- a/src/routing/ledgerclient.cpp
+++ b/src/routing/ledgerclient.cpp
@@ -75,9 +75,9 @@
     return found != m_entries.end() && found->second.phase == Phase::Reporting;
 }
 
-base::Duration LedgerClient::recordPatience() const
+base::Duration LedgerClient::recordTimeout() const
 {
-    return m_settings.recordPatience;
+    return m_settings.recordTimeout;
 }
 
 std::vector<wire::Outgoing> LedgerClient::takeMessages()
@@ -129,7 +129,7 @@
 {
     const auto now = m_clock.now();
     entry.sent = now;
-    entry.claim.left = (entry.deadline - now).count();
+    entry.claim.remaining = (entry.deadline - now).count();
     entry.claim.revision = m_configuration->revision();
     const auto &vms = vmsOf(entry.claim.service);
     const bool asksNext = now - entry.began >= m_settings.askNextAfter;
@@ -213,7 +213,7 @@
     const bool released = entry.report.state == static_cast<std::uint8_t>(RecordState::Released);
     const base::Duration untilDeadline = std::max(entry.deadline - now, base::Duration::zero());
     entry.sent = now;
-    entry.report.left = released ? untilDeadline.count() : entry.report.retention;
+    entry.report.remaining = released ? untilDeadline.count() : entry.report.retention;
     const LedgerComplete message{entry.report, m_configuration->revision()};
     const auto &vms = vmsOf(entry.claim.service);
     const bool asksNext = now - entry.began >= m_settings.askNextAfter;
@@ -268,7 +268,7 @@
             sendReport(entry);
         }
     }
-    std::erase_if(m_entries, [&](const auto &entry) { return isForgotten(entry.second); });
+    std::erase_if(m_entries, [&](const auto &entry) { return isRemovable(entry.second); });
 }
 
 /// The home's verdict may still come; decide() is not called for it any more, so the request never runs.
@@ -280,7 +280,7 @@
     refuse(entry.claim.request, notRun(code, RetryClass::WithSameKey, retryAfterUnreachable));
 }
 
-bool LedgerClient::isForgotten(const Entry &entry) const
+bool LedgerClient::isRemovable(const Entry &entry) const
 {
     const auto now = m_clock.now();
     switch (entry.phase) {
--- a/src/routing/ledgerhome.cpp
+++ b/src/routing/ledgerhome.cpp
@@ -104,17 +104,17 @@
     return homeOf(key, *state.vms) == m_self;
 }
 
-const LedgerHome::IncomingHandOver *LedgerHome::actingFor(const ServiceState &state,
-                                                          const base::ServiceId &service,
-                                                          const KeyHash &key) const
+const LedgerHome::IncomingHandOver *LedgerHome::actingHandOver(const ServiceState &state,
+                                                               const base::ServiceId &service,
+                                                               const KeyHash &key) const
 {
     if (nextHomeOf(key, *state.vms) != m_self) {
         return nullptr;
     }
-    const auto found = m_handedToUs.find({service, homeOf(key, *state.vms)});
-    const bool isWhole = found != m_handedToUs.end() && found->second.isWhole && found->second.isCurrent
+    const auto found = m_incomingHandOvers.find({service, homeOf(key, *state.vms)});
+    const bool isWhole = found != m_incomingHandOvers.end() && found->second.isWhole && found->second.isCurrent
         && found->second.vms == *state.vms;
-    if (!isWhole || found->second.takenBack) {
+    if (!isWhole || found->second.reclaimedBy) {
         return nullptr;
     }
     return &found->second;
@@ -129,92 +129,94 @@
     const base::Revision revision = m_configuration->revision();
     const ServiceState &state = found->second;
     // Either side may hold the older configuration. Nothing is decided until both name the same home.
-    if (claim.revision > revision || state.frozenUntil > revision || claim.revision < state.leastClaimRevision) {
+    if (claim.revision > revision || state.frozenUntilRevision > revision || claim.revision < state.minClaimRevision) {
         return std::nullopt;
     }
-    if (!isHome(state, claim.key) && actingFor(state, claim.service, claim.key) == nullptr) {
+    if (!isHome(state, claim.key) && actingHandOver(state, claim.service, claim.key) == nullptr) {
         return std::nullopt;
     }
-    if (claim.left <= 0) {
+    if (claim.remaining <= 0) {
         return refuseNotRun(base::ResultCode::DeadlineExceeded, RetryClass::WithSameKey, {});
     }
     if (auto known = m_ledger.lookUp(claim)) {
         return known;
     }
-    // A key from the future would look new to a home that forgot it: never let one run (see gapSince()).
+    // A key from the future would look new to a home that forgot it: never let one run (see grantBlockAfterLoss()).
     const auto wallNow = m_clock.wallNow().time_since_epoch();
-    if (base::Duration(claim.keyTime) > wallNow + m_settings.keyAhead) {
+    if (base::Duration(claim.keyTime) > wallNow + m_settings.maxKeyAhead) {
         return refuseNotRun(base::ResultCode::IdempotencyKeyInvalid, RetryClass::WithNewKey, {});
     }
-    if (const auto gap = gapFor(claim.service, state, claim)) {
-        return gap->refusal;
+    if (const auto block = grantBlockFor(claim.service, state, claim)) {
+        return block->refusal;
     }
     return m_ledger.grant(claim);
 }
 
-bool LedgerHome::isVouchedFor(const ServiceState &state, const KeyHash &key) const
+bool LedgerHome::isCoveredByHandOver(const ServiceState &state, const KeyHash &key) const
 {
-    return state.vouchedVms && homeOf(key, *state.vouchedVms) == m_self
-        && state.vouchedBy.contains(nextHomeOf(key, *state.vouchedVms));
+    return state.handOverVms && homeOf(key, *state.handOverVms) == m_self
+        && state.handOverHolders.contains(nextHomeOf(key, *state.handOverVms));
 }
 
-bool LedgerHome::isConcerned(const Predecessor &predecessor, const ServiceState &state, const KeyHash &key) const
+bool LedgerHome::concernsKey(const Predecessor &predecessor, const ServiceState &state, const KeyHash &key) const
 {
     if (predecessor.before && homeOf(key, *predecessor.before) == m_self) {
         return false;
     }
     // What our earlier process knew came back, and it was home of this key: it covers what others lost before.
-    return !(predecessor.lost && predecessor.atStart && isVouchedFor(state, key));
+    return !(predecessor.lostAt && predecessor.atStart && isCoveredByHandOver(state, key));
 }
 
 /// The whole hand-over of the home that `key` had before the move, if it chose this node as the next one.
-const LedgerHome::IncomingHandOver *LedgerHome::handedOver(const Predecessor &predecessor, const KeyHash &key) const
+const LedgerHome::IncomingHandOver *LedgerHome::completedHandOver(const Predecessor &predecessor,
+                                                                  const KeyHash &key) const
 {
     if (!predecessor.before) {
         return nullptr;
     }
-    const auto found = m_handedToUs.find({predecessor.heldAs, homeOf(key, *predecessor.before)});
-    const bool isOurs = found != m_handedToUs.end() && found->second.isWhole && !found->second.takenBack
+    const auto found = m_incomingHandOvers.find({predecessor.sourceService, homeOf(key, *predecessor.before)});
+    const bool isOurs = found != m_incomingHandOvers.end() && found->second.isWhole && !found->second.reclaimedBy
         && found->second.vms == *predecessor.before && nextHomeOf(key, *predecessor.before) == m_self;
     return isOurs ? &found->second : nullptr;
 }
 
-std::optional<LedgerHome::Gap> LedgerHome::gapFor(const base::ServiceId &service,
-                                                  const ServiceState &state,
-                                                  const LedgerClaim &claim) const
+std::optional<LedgerHome::GrantBlock> LedgerHome::grantBlockFor(const base::ServiceId &service,
+                                                                const ServiceState &state,
+                                                                const LedgerClaim &claim) const
 {
     if (!isHome(state, claim.key)) {
-        const auto *handOver = actingFor(state, service, claim.key);
-        return handOver->lost ? gapSince(*handOver->lost, state, claim) : std::nullopt;
+        const auto *handOver = actingHandOver(state, service, claim.key);
+        return handOver->lostAt ? grantBlockAfterLoss(*handOver->lostAt, state, claim) : std::nullopt;
     }
     for (const Predecessor &predecessor : state.predecessors) {
-        if (!isConcerned(predecessor, state, claim.key)) {
+        if (!concernsKey(predecessor, state, claim.key)) {
             continue;
         }
-        const auto *handOver = handedOver(predecessor, claim.key);
-        const auto lost = handOver != nullptr ? handOver->lost : predecessor.lost;
+        const auto *handOver = completedHandOver(predecessor, claim.key);
+        const auto lost = handOver != nullptr ? handOver->lostAt : predecessor.lostAt;
         if (lost) {
-            if (auto gap = gapSince(*lost, state, claim)) {
-                return gap;
+            if (auto block = grantBlockAfterLoss(*lost, state, claim)) {
+                return block;
             }
         }
         if (!isOpen(predecessor, state, claim.key)) {
             continue;
         }
-        if (m_clock.now() - predecessor.asked < m_settings.fetchPatience) {
-            return Gap{};
+        if (m_clock.now() - predecessor.firstAsked < m_settings.fetchTimeout) {
+            return GrantBlock{};
         }
-        return Gap{refuseNotRun(base::ResultCode::IdempotencyHomeFresh, RetryClass::WithSameKey, retryWhileFetching)};
+        return GrantBlock{
+            refuseNotRun(base::ResultCode::IdempotencyHomeFresh, RetryClass::WithSameKey, retryWhileFetching)};
     }
     return std::nullopt;
 }
 
 /// What was known before `lost` is gone. A key may be new all the same when the retention has passed since, or when
-/// it carries a time after `lost`: earlier homes ran no key from further in the future than keyAhead, and their
+/// it carries a time after `lost`: earlier homes ran no key from further in the future than maxKeyAhead, and their
 /// calendar clocks differ from ours by at most clockSkew.
-std::optional<LedgerHome::Gap> LedgerHome::gapSince(base::TimePoint lost,
-                                                    const ServiceState &state,
-                                                    const LedgerClaim &claim) const
+std::optional<LedgerHome::GrantBlock> LedgerHome::grantBlockAfterLoss(base::TimePoint lost,
+                                                                      const ServiceState &state,
+                                                                      const LedgerClaim &claim) const
 {
     const base::Duration ago = m_clock.now() - lost;
     const base::Duration retention = std::max(retentionOf(state), base::Duration(claim.retention));
@@ -222,10 +224,10 @@
         return std::nullopt;
     }
     const base::Duration lostByWall = m_clock.wallNow().time_since_epoch() - ago;
-    if (base::Duration(claim.keyTime) > lostByWall + m_settings.keyAhead + m_settings.clockSkew) {
+    if (base::Duration(claim.keyTime) > lostByWall + m_settings.maxKeyAhead + m_settings.clockSkew) {
         return std::nullopt;
     }
-    return Gap{refuseNotRun(base::ResultCode::IdempotencyHomeFresh, RetryClass::WithNewKey, retention - ago)};
+    return GrantBlock{refuseNotRun(base::ResultCode::IdempotencyHomeFresh, RetryClass::WithNewKey, retention - ago)};
 }
 
 bool LedgerHome::complete(const LedgerComplete &report)
@@ -236,16 +238,16 @@
         return false;
     }
     const ServiceState &state = found->second;
-    const bool isOurs = isHome(state, record.key) || actingFor(state, record.service, record.key) != nullptr;
+    const bool isOurs = isHome(state, record.key) || actingHandOver(state, record.service, record.key) != nullptr;
     if (!isOurs) {
         return false;
     }
     if (!m_ledger.complete(record)) {
         return false;
     }
-    const bool nextHasIt = !m_stopping || handOn(state, record.key);
+    const bool nextHasIt = !m_stopping || forwardRecord(state, record.key);
     // While frozen, or after a fetch, the new home must hear it too: no acknowledgement, so the entry asks on.
-    if (!nextHasIt || state.frozenUntil > m_configuration->revision()) {
+    if (!nextHasIt || state.frozenUntilRevision > m_configuration->revision()) {
         return false;
     }
     // An earlier home that was not heard yet may still answer by the record before. A stopping node answers no claims,
@@ -258,20 +260,20 @@
 /// Whether `predecessor` may still answer claims for `key`, as it was not heard and has not stopped.
 bool LedgerHome::isOpen(const Predecessor &predecessor, const ServiceState &state, const KeyHash &key) const
 {
-    return !predecessor.lost && isHome(state, key) && isConcerned(predecessor, state, key)
-        && handedOver(predecessor, key) == nullptr;
+    return !predecessor.lostAt && isHome(state, key) && concernsKey(predecessor, state, key)
+        && completedHandOver(predecessor, key) == nullptr;
 }
 
 /// Sends a record that changed after the hand-over began to the next home, and says whether that has it. The next home
 /// may act already, and would tell a repeat that a run has not ended whose caller has its answer.
-bool LedgerHome::handOn(const ServiceState &state, const KeyHash &key)
+bool LedgerHome::forwardRecord(const ServiceState &state, const KeyHash &key)
 {
     const auto current = m_ledger.record(key);
     const base::VmId next = nextHomeOf(key, *state.vms);
     if (!current || next.empty() || next == m_self) {
         return true;
     }
-    if (m_handedOn.emplace(current->request, current->state).second) {
+    if (m_forwarded.emplace(current->request, current->state).second) {
         LedgerHandOver part;
         part.service = current->service;
         part.records.push_back(*current);
@@ -321,7 +323,7 @@
     }
 }
 
-std::int64_t LedgerHome::agoOf(const std::optional<base::TimePoint> &at) const
+std::int64_t LedgerHome::elapsedSince(const std::optional<base::TimePoint> &at) const
 {
     return at ? std::max<std::int64_t>((m_clock.now() - *at).count(), 0) : -1;
 }
@@ -331,15 +333,15 @@
     return ago < 0 ? std::nullopt : std::optional(m_clock.now() - base::Duration(ago));
 }
 
-std::optional<base::TimePoint> LedgerHome::lostAt(const base::ServiceId &service, const ServiceState &state) const
+std::optional<base::TimePoint> LedgerHome::latestLoss(const base::ServiceId &service, const ServiceState &state) const
 {
     std::optional<base::TimePoint> result;
     for (const Predecessor &predecessor : state.predecessors) {
-        const bool isUndecided = !predecessor.lost && predecessor.atStart && !m_settings.noEarlierRuns;
-        result = later(result, isUndecided ? std::optional(m_started) : predecessor.lost);
+        const bool isUndecided = !predecessor.lostAt && predecessor.atStart && !m_settings.noEarlierRuns;
+        result = later(result, isUndecided ? std::optional(m_started) : predecessor.lostAt);
     }
-    for (const auto &[from, handOver] : m_handedToUs) {
-        result = from.first == service && !handOver.takenBack ? later(result, handOver.lost) : result;
+    for (const auto &[from, handOver] : m_incomingHandOvers) {
+        result = from.first == service && !handOver.reclaimedBy ? later(result, handOver.lostAt) : result;
     }
     return result;
 }
@@ -372,15 +374,15 @@
 {
     // With a gap that is still open, nobody may act for this home as if it knew everything.
     const bool isWhole = std::all_of(
-        state.predecessors.begin(), state.predecessors.end(), [](const auto &p) { return p.lost.has_value(); });
+        state.predecessors.begin(), state.predecessors.end(), [](const auto &p) { return p.lostAt.has_value(); });
     for (const auto &vm : *state.vms) {
         if (vm == m_self) {
             continue;
         }
-        OutgoingHandOver &given = m_given[{service, vm}];
-        given.mayEnd = isWhole;
-        given.vms = *state.vms;
-        given.lost = lostAt(service, state);
+        OutgoingHandOver &outgoing = m_outgoingHandOvers[{service, vm}];
+        outgoing.mayFinish = isWhole;
+        outgoing.vms = *state.vms;
+        outgoing.lostAt = latestLoss(service, state);
         KeyHash after;
         for (bool isLast = false; !isLast;) {
             LedgerHandOver part;
@@ -405,25 +407,25 @@
         return;
     }
     part.incarnation = m_incarnation;
-    part.part = m_given[{part.service, to}].nextPart++;
+    part.part = m_outgoingHandOvers[{part.service, to}].nextPart++;
     send(to, wire::MessageKind::LedgerHandOver, part);
     m_parts.push_back(OutgoingPart{to, std::move(part), m_clock.now()});
 }
 
 /// All parts so far were acknowledged: sends the last one, which lets the next home act.
-void LedgerHome::endHandOver(const base::ServiceId &service, const base::VmId &to)
+void LedgerHome::finishHandOver(const base::ServiceId &service, const base::VmId &to)
 {
-    OutgoingHandOver &given = m_given[{service, to}];
-    if (!given.mayEnd || given.hasEnded || !given.receiver) {
+    OutgoingHandOver &outgoing = m_outgoingHandOvers[{service, to}];
+    if (!outgoing.mayFinish || outgoing.hasFinished || !outgoing.receiver) {
         return;
     }
-    given.hasEnded = true;
+    outgoing.hasFinished = true;
     LedgerHandOver part;
     part.service = service;
     part.last = true;
-    part.lostAgo = agoOf(given.lost);
-    part.vms = given.vms;
-    part.receiver = *given.receiver;
+    part.lostAgo = elapsedSince(outgoing.lostAt);
+    part.vms = outgoing.vms;
+    part.receiver = *outgoing.receiver;
     queuePart(to, std::move(part));
 }
 
@@ -434,16 +436,16 @@
 
 void LedgerHome::receiveHandOver(const base::VmId &from, const LedgerHandOver &part)
 {
-    IncomingHandOver &handOver = m_handedToUs[{part.service, from}];
-    if (handOver.past.contains(part.incarnation)) {
+    IncomingHandOver &handOver = m_incomingHandOvers[{part.service, from}];
+    if (handOver.pastIncarnations.contains(part.incarnation)) {
         return;
     }
     if (handOver.incarnation != part.incarnation) {
-        auto past = std::move(handOver.past);
+        auto past = std::move(handOver.pastIncarnations);
         past.insert(handOver.incarnation);
         handOver = IncomingHandOver();
         handOver.incarnation = part.incarnation;
-        handOver.past = std::move(past);
+        handOver.pastIncarnations = std::move(past);
     }
     for (const LedgerRecord &record : part.records) {
         if (!m_ledger.merge(record)) {
@@ -453,7 +455,7 @@
     if (part.last && part.receiver == m_incarnation) {
         handOver.isWhole = true;
         handOver.vms = part.vms;
-        handOver.lost = timeOf(part.lostAgo);
+        handOver.lostAt = timeOf(part.lostAgo);
         PAPAYASTEP_LOG(INFO, logPrefix) << "An idempotency home handed its records over."
                                         << base::field("service", part.service) << base::field("from", from);
     }
@@ -473,13 +475,13 @@
     if (erased == 0) {
         return;
     }
-    OutgoingHandOver &given = m_given[{result.service, from}];
-    if (given.receiver.value_or(result.receiver) != result.receiver) {
-        given.mayEnd = false; // The next home restarted in between: neither of its processes has everything.
+    OutgoingHandOver &outgoing = m_outgoingHandOvers[{result.service, from}];
+    if (outgoing.receiver.value_or(result.receiver) != result.receiver) {
+        outgoing.mayFinish = false; // The next home restarted in between: neither of its processes has everything.
     }
-    given.receiver = result.receiver;
+    outgoing.receiver = result.receiver;
     if (std::none_of(m_parts.begin(), m_parts.end(), isOpen)) {
-        endHandOver(result.service, from);
+        finishHandOver(result.service, from);
     }
 }
 
@@ -509,42 +511,42 @@
 {
     const auto now = m_clock.now();
     for (Predecessor &predecessor : state.predecessors) {
-        if (predecessor.lost) {
+        if (predecessor.lostAt) {
             continue;
         }
-        const base::Duration waited = now - predecessor.asked;
-        if (neverWas(predecessor)) {
+        const base::Duration waited = now - predecessor.firstAsked;
+        if (wasNeverHome(predecessor)) {
             continue;
         }
         if (isGone(predecessor)) {
-            predecessor.lost = now;
-            state.heard.try_emplace(predecessor.vm, base::Incarnation());
+            predecessor.lostAt = now;
+            state.seenIncarnations.try_emplace(predecessor.vm, base::Incarnation());
             PAPAYASTEP_LOG(WARNING, logPrefix) << "An earlier idempotency home is gone with its records."
                                                << base::field("service", service) << base::field("vm", predecessor.vm);
-        } else if (now - predecessor.sent >= resendInterval(waited, m_settings)) {
-            ask(service, state, predecessor);
+        } else if (now - predecessor.lastAsked >= resendInterval(waited, m_settings)) {
+            sendFetch(service, state, predecessor);
         }
     }
     const base::Duration retention = retentionOf(state);
     std::erase_if(state.predecessors, [&](const Predecessor &predecessor) {
-        return neverWas(predecessor) || (predecessor.lost && now - *predecessor.lost >= retention);
+        return wasNeverHome(predecessor) || (predecessor.lostAt && now - *predecessor.lostAt >= retention);
     });
     std::erase_if(state.fetchers, [&](const Fetcher &fetcher) { return now - fetcher.at >= retention; });
-    std::erase_if(state.known, [&](const auto &entry) { return now - entry.second >= retention; });
-    std::erase_if(state.heard, [&](const auto &entry) {
-        return !holds(*state.vms, entry.first) && !state.known.contains(entry.first);
+    std::erase_if(state.formerHomes, [&](const auto &entry) { return now - entry.second >= retention; });
+    std::erase_if(state.seenIncarnations, [&](const auto &entry) {
+        return !holds(*state.vms, entry.first) && !state.formerHomes.contains(entry.first);
     });
 }
 
 bool LedgerHome::isGone(const Predecessor &predecessor) const
 {
-    return m_hasList && !m_listed.contains(predecessor.vm) && m_clock.now() - predecessor.asked >= listGrace;
+    return m_hasList && !m_listed.contains(predecessor.vm) && m_clock.now() - predecessor.firstAsked >= listGrace;
 }
 
 /// A first installation where the configuration names VMs that do not run yet.
-bool LedgerHome::neverWas(const Predecessor &predecessor) const
+bool LedgerHome::wasNeverHome(const Predecessor &predecessor) const
 {
-    return m_settings.noEarlierRuns && predecessor.atStart && !predecessor.lost && m_hasList
+    return m_settings.noEarlierRuns && predecessor.atStart && !predecessor.lostAt && m_hasList
         && !m_listed.contains(predecessor.vm) && m_clock.now() - m_started < firstStartWindow;
 }
 
@@ -552,17 +554,17 @@
 {
     const bool isWaiting = std::any_of(m_services.begin(), m_services.end(), [](const auto &entry) {
         const auto &predecessors = entry.second.predecessors;
-        return std::any_of(predecessors.begin(), predecessors.end(), [](const auto &p) { return !p.lost; });
+        return std::any_of(predecessors.begin(), predecessors.end(), [](const auto &p) { return !p.lostAt; });
     });
     return m_clock.now() + (isWaiting || !m_parts.empty() ? m_settings.resendEvery : tickEvery);
 }
 
-bool LedgerHome::isCovered(const base::ServiceId &service) const
+bool LedgerHome::hasResolvedEarlierHomes(const base::ServiceId &service) const
 {
     const auto found = m_services.find(service);
     return found != m_services.end()
         && std::all_of(found->second.predecessors.begin(), found->second.predecessors.end(), [](const auto &p) {
-               return p.lost.has_value();
+               return p.lostAt.has_value();
            });
 }
 
--- a/src/routing/ledgermove.cpp
+++ b/src/routing/ledgermove.cpp
@@ -66,7 +66,7 @@
     }
     for (const auto &vm : *old) {
         if (hasChanged) {
-            state.known[vm] = m_clock.now();
+            state.formerHomes[vm] = m_clock.now();
         }
     }
     if (!isOurs) {
@@ -77,14 +77,14 @@
     const bool isNew = !state.memberSince.has_value();
     state.memberSince = state.memberSince.value_or(m_clock.now());
     Predecessor like;
-    like.heldAs = service;
+    like.sourceService = service;
     like.atStart = isNew;
     like.before = before ? old : nullptr;
     if (isNew && !m_settings.noEarlierRuns) {
-        doubtSelf(service, state);
+        assumeEarlierProcess(service, state);
     }
     if (isNew || hasChanged) {
-        askAll(service, state, like, knownVms(service, state));
+        fetchFromAll(service, state, like, possibleHomes(service, state));
     }
 
     // Revisions that this node never held may have had other homes for any key. Each of them fetched from us before it
@@ -98,8 +98,8 @@
         }
     }
     like.before = nullptr;
-    askAll(service, state, like, skipped);
-    for (auto &[from, handOver] : m_handedToUs) {
+    fetchFromAll(service, state, like, skipped);
+    for (auto &[from, handOver] : m_incomingHandOvers) {
         const bool isStale = from.first == service && (hasChanged || !skipped.empty());
         handOver.isCurrent = handOver.isCurrent && !isStale;
     }
@@ -121,19 +121,19 @@
             continue;
         }
         Predecessor like;
-        like.heldAs = old->service;
+        like.sourceService = old->service;
         const auto earlier = m_services.find(old->service);
         auto vms = before->vmsOf(old->service);
         if (earlier != m_services.end()) {
-            const auto known = knownVms(old->service, earlier->second);
+            const auto known = possibleHomes(old->service, earlier->second);
             vms.insert(vms.end(), known.begin(), known.end());
         }
-        askAll(route.service, state, like, vms);
+        fetchFromAll(route.service, state, like, vms);
     }
 }
 
 /// All that may know of grants: the VMs of the service now and before, and those that took records from us.
-std::vector<base::VmId> LedgerHome::knownVms(const base::ServiceId &service, const ServiceState &state) const
+std::vector<base::VmId> LedgerHome::possibleHomes(const base::ServiceId &service, const ServiceState &state) const
 {
     std::set<base::VmId> vms;
     if (state.vms) {
@@ -143,7 +143,7 @@
         const auto configured = m_configuration->vmsOf(service);
         vms.insert(configured.begin(), configured.end());
     }
-    for (const auto &[vm, at] : state.known) {
+    for (const auto &[vm, at] : state.formerHomes) {
         vms.insert(vm);
     }
     for (const Fetcher &fetcher : state.fetchers) {
@@ -156,28 +156,28 @@
 }
 
 /// An earlier process on this VM may have granted runs that this one knows nothing of.
-void LedgerHome::doubtSelf(const base::ServiceId &service, ServiceState &state)
+void LedgerHome::assumeEarlierProcess(const base::ServiceId &service, ServiceState &state)
 {
-    const bool isDoubted
+    const bool isAssumed
         = std::any_of(state.predecessors.begin(), state.predecessors.end(), [](const auto &p) { return p.isSelf; });
-    if (isDoubted || age() >= retentionOf(state)) {
+    if (isAssumed || age() >= retentionOf(state)) {
         return;
     }
     Predecessor self;
     self.vm = m_self;
-    self.heldAs = service;
+    self.sourceService = service;
     self.atStart = true;
     self.isSelf = true;
-    self.asked = m_clock.now();
-    self.lost = m_started;
+    self.firstAsked = m_clock.now();
+    self.lostAt = m_started;
     state.predecessors.push_back(std::move(self));
 }
 
 /// Asks each of `vms` as a predecessor like `like`, unless it was asked so under this revision.
-void LedgerHome::askAll(const base::ServiceId &service,
-                        ServiceState &state,
-                        const Predecessor &like,
-                        const std::vector<base::VmId> &vms)
+void LedgerHome::fetchFromAll(const base::ServiceId &service,
+                              ServiceState &state,
+                              const Predecessor &like,
+                              const std::vector<base::VmId> &vms)
 {
     for (const auto &vm : vms) {
         const bool isNew = vm != m_self && state.asked.emplace(vm, like.before).second;
@@ -186,20 +186,20 @@
         }
         Predecessor predecessor = like;
         predecessor.vm = vm;
-        predecessor.lost.reset();
+        predecessor.lostAt.reset();
         predecessor.after = KeyHash();
-        predecessor.asked = m_clock.now();
-        ask(service, state, predecessor);
+        predecessor.firstAsked = m_clock.now();
+        sendFetch(service, state, predecessor);
         state.predecessors.push_back(std::move(predecessor));
     }
 }
 
-void LedgerHome::ask(const base::ServiceId &service, const ServiceState &state, Predecessor &predecessor)
+void LedgerHome::sendFetch(const base::ServiceId &service, const ServiceState &state, Predecessor &predecessor)
 {
-    predecessor.sent = m_clock.now();
+    predecessor.lastAsked = m_clock.now();
     LedgerFetch fetch;
     fetch.service = service;
-    fetch.heldAs = predecessor.heldAs;
+    fetch.sourceService = predecessor.sourceService;
     fetch.revision = m_configuration->revision();
     fetch.previousRevision = state.previousRevision;
     fetch.incarnation = m_incarnation;
@@ -211,47 +211,48 @@
 void LedgerHome::receiveFetch(const base::VmId &from, const LedgerFetch &fetch)
 {
     const base::Revision own = m_configuration ? m_configuration->revision() : 0;
-    auto found = m_services.find(fetch.heldAs);
-    const base::Revision told = found != m_services.end() ? found->second.frozenUntil : 0;
+    auto found = m_services.find(fetch.sourceService);
+    const base::Revision told = found != m_services.end() ? found->second.frozenUntilRevision : 0;
     if (fetch.revision < std::max(own, told)) {
         // Another home may have been told of a later revision and may grant by it. An asker that is behind must not
         // become home beside it, so it gets no answer before it has caught up.
         return;
     }
     if (found == m_services.end()) {
-        found = m_services.try_emplace(fetch.heldAs).first;
+        found = m_services.try_emplace(fetch.sourceService).first;
         found->second.vms = std::make_shared<const std::vector<base::VmId>>();
     }
     // From here on this node grants nothing for the service under an older revision.
-    found->second.frozenUntil = fetch.revision;
+    found->second.frozenUntilRevision = fetch.revision;
     answerFetch(from, fetch, found->second);
 }
 
 void LedgerHome::answerFetch(const base::VmId &from, const LedgerFetch &fetch, ServiceState &state)
 {
     const auto now = m_clock.now();
-    const auto heard = state.heard.find(from);
-    const bool heardEarlier = heard != state.heard.end() && heard->second != fetch.incarnation;
+    const auto heard = state.seenIncarnations.find(from);
+    const bool heardEarlier = heard != state.seenIncarnations.end() && heard->second != fetch.incarnation;
 
     LedgerFetchResult result;
     result.service = fetch.service;
-    result.heldAs = fetch.heldAs;
+    result.sourceService = fetch.sourceService;
     result.revision = fetch.revision;
     result.incarnation = fetch.incarnation;
     result.after = fetch.after;
-    result.vouches = vouchesFor(from, fetch);
-    result.knewAsker = heardEarlier || state.known.contains(from) || m_handedToUs.contains({fetch.service, from});
+    result.hasFullHandOver = holdsFullHandOver(from, fetch);
+    result.sawEarlierProcess
+        = heardEarlier || state.formerHomes.contains(from) || m_incomingHandOvers.contains({fetch.service, from});
     result.age = age().count();
     result.memberFor = state.memberSince ? (now - *state.memberSince).count() : 0;
-    result.lostAgo = agoOf(lostAt(fetch.heldAs, state));
+    result.lostAgo = elapsedSince(latestLoss(fetch.sourceService, state));
     if (!state.memberSince && !m_settings.noEarlierRuns && age() < retentionOf(state)) {
         result.lostAgo = age().count(); // An earlier process on this VM may have been home.
     }
-    result.others = knownVms(fetch.heldAs, state);
+    result.possibleHomes = possibleHomes(fetch.sourceService, state);
     result.records = m_ledger.page(
         fetch.after,
         [&](const KeyHash &key, const base::ServiceId &service) {
-            return service == fetch.heldAs && homeOf(key, fetch.vms) == from;
+            return service == fetch.sourceService && homeOf(key, fetch.vms) == from;
         },
         result.last);
     noteFetcher(from, fetch, state);
@@ -260,32 +261,32 @@
 
 /// Whether the whole hand-over of the asker's earlier process is here. Only its first new process may have it back:
 /// that one may grant runs, which a second would not learn of here.
-bool LedgerHome::vouchesFor(const base::VmId &from, const LedgerFetch &fetch)
+bool LedgerHome::holdsFullHandOver(const base::VmId &from, const LedgerFetch &fetch)
 {
-    const auto handed = m_handedToUs.find({fetch.service, from});
-    if (handed == m_handedToUs.end() || handed->second.incarnation == fetch.incarnation) {
+    const auto handed = m_incomingHandOvers.find({fetch.service, from});
+    if (handed == m_incomingHandOvers.end() || handed->second.incarnation == fetch.incarnation) {
         return false;
     }
     IncomingHandOver &handOver = handed->second;
-    handOver.takenBack = handOver.takenBack.value_or(fetch.incarnation);
-    return handOver.isWhole && handOver.isCurrent && handOver.takenBack == fetch.incarnation
-        && handOver.vms == fetch.vms && !handOver.lost;
+    handOver.reclaimedBy = handOver.reclaimedBy.value_or(fetch.incarnation);
+    return handOver.isWhole && handOver.isCurrent && handOver.reclaimedBy == fetch.incarnation
+        && handOver.vms == fetch.vms && !handOver.lostAt;
 }
 
 void LedgerHome::noteFetcher(const base::VmId &from, const LedgerFetch &fetch, ServiceState &state)
 {
-    if (fetch.service != fetch.heldAs) {
+    if (fetch.service != fetch.sourceService) {
         // A route moved to another service. An entry that does not know it yet would have its keys run here too.
-        state.leastClaimRevision = std::max(state.leastClaimRevision, fetch.revision);
+        state.minClaimRevision = std::max(state.minClaimRevision, fetch.revision);
     }
     const auto isSame
         = [&](const Fetcher &fetcher) { return fetcher.vm == from && fetcher.revision == fetch.revision; };
     std::erase_if(state.fetchers, isSame);
     state.fetchers.push_back(Fetcher{from, fetch.revision, m_clock.now()});
-    const auto [heard, isNew] = state.heard.try_emplace(from, fetch.incarnation);
+    const auto [heard, isNew] = state.seenIncarnations.try_emplace(from, fetch.incarnation);
     if (!isNew && heard->second != fetch.incarnation) {
         // Stays in mind as an earlier process, whatever the number of starts.
-        state.known[from] = m_clock.now();
+        state.formerHomes[from] = m_clock.now();
         heard->second = fetch.incarnation;
     }
 }
@@ -300,7 +301,7 @@
     }
     ServiceState &state = found->second;
     const auto isAsked = [&](const Predecessor &predecessor) {
-        return predecessor.vm == from && predecessor.heldAs == result.heldAs && !predecessor.lost
+        return predecessor.vm == from && predecessor.sourceService == result.sourceService && !predecessor.lostAt
             && predecessor.after == result.after;
     };
     const bool isExpected = std::any_of(state.predecessors.begin(), state.predecessors.end(), isAsked);
@@ -308,13 +309,13 @@
         return; // Without room it is not settled, and asked again later.
     }
     if (result.last) {
-        settle(from, result, state);
+        resolvePredecessors(from, result, state);
         return;
     }
     for (Predecessor &predecessor : state.predecessors) {
         if (isAsked(predecessor) && !result.records.empty()) {
             predecessor.after = result.records.back().key;
-            ask(result.service, state, predecessor);
+            sendFetch(result.service, state, predecessor);
         }
     }
 }
@@ -331,34 +332,34 @@
 }
 
 /// Whether there was an earlier process on this VM, and whether it left its records when it stopped.
-void LedgerHome::learnAboutSelf(const base::VmId &from, const LedgerFetchResult &result, ServiceState &state)
+void LedgerHome::updateEarlierProcess(const base::VmId &from, const LedgerFetchResult &result, ServiceState &state)
 {
-    if (result.vouches) {
-        state.vouchedBy.insert(from);
-        state.vouchedVms = state.vms;
+    if (result.hasFullHandOver) {
+        state.handOverHolders.insert(from);
+        state.handOverVms = state.vms;
     }
-    state.selfKnown = state.selfKnown || result.knewAsker;
-    const bool isElder = base::Duration(result.memberFor) >= retentionOf(state);
-    state.selfUnknownToElder = state.selfUnknownToElder || (isElder && !result.knewAsker);
+    state.earlierProcessSeen = state.earlierProcessSeen || result.sawEarlierProcess;
+    const bool isLongTimeMember = base::Duration(result.memberFor) >= retentionOf(state);
+    state.unseenByLongTimeMember = state.unseenByLongTimeMember || (isLongTimeMember && !result.sawEarlierProcess);
     if (m_settings.noEarlierRuns && base::Duration(result.age) > age() + firstStartWindow) {
-        doubtSelf(result.service, state);
+        assumeEarlierProcess(result.service, state);
     }
 }
 
 /// All pages of `from` are here. What it may have lost stays open as lost, and the VMs that it names are asked too.
-void LedgerHome::settle(const base::VmId &from, const LedgerFetchResult &result, ServiceState &state)
+void LedgerHome::resolvePredecessors(const base::VmId &from, const LedgerFetchResult &result, ServiceState &state)
 {
-    learnAboutSelf(from, result, state);
-    state.heard.try_emplace(from, base::Incarnation());
+    updateEarlierProcess(from, result, state);
+    state.seenIncarnations.try_emplace(from, base::Incarnation());
     const auto lost = timeOf(result.lostAgo);
     std::vector<Predecessor> settled;
     std::vector<Predecessor> open;
     for (Predecessor &predecessor : state.predecessors) {
-        const bool isAsked = predecessor.vm == from && predecessor.heldAs == result.heldAs && !predecessor.lost
-            && predecessor.after == result.after;
+        const bool isAsked = predecessor.vm == from && predecessor.sourceService == result.sourceService
+            && !predecessor.lostAt && predecessor.after == result.after;
         if (isAsked) {
             settled.push_back(predecessor);
-            predecessor.lost = lost;
+            predecessor.lostAt = lost;
         }
         if (!isAsked || lost) {
             open.push_back(std::move(predecessor));
@@ -366,12 +367,12 @@
     }
     state.predecessors = std::move(open);
     for (const Predecessor &predecessor : settled) {
-        askAll(result.service, state, predecessor, result.others);
+        fetchFromAll(result.service, state, predecessor, result.possibleHomes);
     }
 
     const bool allAnswered = std::all_of(
-        state.predecessors.begin(), state.predecessors.end(), [](const auto &p) { return p.lost.has_value(); });
-    if (allAnswered && state.selfUnknownToElder && !state.selfKnown) {
+        state.predecessors.begin(), state.predecessors.end(), [](const auto &p) { return p.lostAt.has_value(); });
+    if (allAnswered && state.unseenByLongTimeMember && !state.earlierProcessSeen) {
         // Whoever grants has fetched from every VM of the service before. So no earlier process here has granted.
         std::erase_if(state.predecessors, [](const auto &p) { return p.isSelf; });
     }
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -98,7 +98,7 @@
     if (from.empty()) {
         return {};
     }
-    return only(from[draw(random, from.size())], PlacementReason::AllBad);
+    return only(from[draw(random, from.size())], PlacementReason::AllUnhealthy);
 }
 
 /// A trial server gets its weight's part of an equal share, and only of requests that can be repeated elsewhere.
@@ -131,11 +131,11 @@
         return "trial";
     case PlacementReason::LeastCost:
         return "least-cost";
-    case PlacementReason::AllBad:
+    case PlacementReason::AllUnhealthy:
         return "all-bad";
     case PlacementReason::Random:
         return "random";
-    case PlacementReason::Nobody:
+    case PlacementReason::NoCandidate:
         return "nobody";
     }
     return "nobody";
@@ -183,7 +183,7 @@
     const double latency = milliseconds(known ? candidate.latency : m_settings.defaultLatency);
     const double slots = std::max(candidate.slots, 1);
     // Figures that are too old are worth no more than the guess that half of the slots are busy.
-    const bool stale = candidate.freshness > m_settings.staleAfter;
+    const bool stale = candidate.loadAge > m_settings.staleAfter;
     const double load = stale ? 0.5 : (candidate.slotsInUse + candidate.queueLength) / slots;
     const double queueing = stale ? 0 : candidate.queueLength / slots;
     const double failure = milliseconds(idempotent ? m_settings.repeatCost : m_settings.lossCost);
@@ -308,11 +308,11 @@
     case PlacementReason::LeastCost:
         sentence << "for the least expected cost.";
         break;
-    case PlacementReason::AllBad:
+    case PlacementReason::AllUnhealthy:
         sentence << "at random, since no backend server looks well.";
         break;
     case PlacementReason::Random:
-    case PlacementReason::Nobody:
+    case PlacementReason::NoCandidate:
         sentence << "at random.";
         break;
     }
@@ -336,11 +336,11 @@
     return explanation;
 }
 
-std::optional<std::size_t> handOver(const Candidate &own,
-                                    std::span<const Candidate> siblings,
-                                    const HandOverRequest &request,
-                                    std::mt19937_64 &random,
-                                    const HandOverSettings &settings)
+std::optional<std::size_t> chooseHandOverTarget(const Candidate &own,
+                                                std::span<const Candidate> siblings,
+                                                const HandOverRequest &request,
+                                                std::mt19937_64 &random,
+                                                const HandOverSettings &settings)
 {
     if (request.handedOverBefore || own.latency <= base::Duration::zero()) {
         return std::nullopt;
@@ -355,7 +355,7 @@
     for (std::uint32_t i = 0; i < siblings.size(); ++i) {
         const Candidate &sibling = siblings[i];
         const bool hasFreeSlot = sibling.slotsInUse + sibling.queueLength < sibling.slots;
-        const bool isKnown = sibling.freshness <= settings.staleAfter && sibling.latency > base::Duration::zero();
+        const bool isKnown = sibling.loadAge <= settings.staleAfter && sibling.latency > base::Duration::zero();
         if (isWell(sibling) && hasFreeSlot && isKnown && !wasTried(sibling, request.tried) && timeOf(sibling) < limit) {
             better.push_back(i);
         }
--- a/src/routing/placement_test.cpp
+++ b/src/routing/placement_test.cpp
@@ -150,10 +150,10 @@
     siblings[0].slotsInUse = 5;
     siblings[1].usable = false;
     HandOverRequest queued{false, 20, 1s, {}};
-    BOOST_TEST(handOver(own, siblings, queued, random).value() == 2u);
+    BOOST_TEST(chooseHandOverTarget(own, siblings, queued, random).value() == 2u);
     queued.handedOverBefore = true;
-    BOOST_TEST(!handOver(own, siblings, queued, random).has_value());
-    BOOST_TEST(!handOver(own, siblings, HandOverRequest{false, 2, 1s, {}}, random).has_value());
-    siblings[2].freshness = 5s;
-    BOOST_TEST(!handOver(own, siblings, HandOverRequest{false, 20, 1s, {}}, random).has_value());
+    BOOST_TEST(!chooseHandOverTarget(own, siblings, queued, random).has_value());
+    BOOST_TEST(!chooseHandOverTarget(own, siblings, HandOverRequest{false, 2, 1s, {}}, random).has_value());
+    siblings[2].loadAge = 5s;
+    BOOST_TEST(!chooseHandOverTarget(own, siblings, HandOverRequest{false, 20, 1s, {}}, random).has_value());
 }
--- a/src/routing/processtable.cpp
+++ b/src/routing/processtable.cpp
@@ -7,7 +7,7 @@
 {
 }
 
-void ProcessTable::noteHeard(const base::VmId &vm, base::Incarnation incarnation)
+void ProcessTable::recordMessage(const base::VmId &vm, base::Incarnation incarnation)
 {
     Process &process = m_processes[vm];
     if (process.incarnation != incarnation) {
@@ -15,10 +15,10 @@
     }
 }
 
-CancelAnswer ProcessTable::proven(const base::VmId &vm,
-                                  base::Incarnation incarnation,
-                                  CancelAnswer answer,
-                                  base::TimePoint sentAt) const
+CancelAnswer ProcessTable::verifiedAnswer(const base::VmId &vm,
+                                          base::Incarnation incarnation,
+                                          CancelAnswer answer,
+                                          base::TimePoint sentAt) const
 {
     if (answer != CancelAnswer::NeverStarted) {
         return answer;
@@ -26,7 +26,7 @@
     const auto found = m_processes.find(vm);
     const bool wasThere
         = found != m_processes.end() && found->second.incarnation == incarnation && found->second.since <= sentAt;
-    return wasThere ? answer : CancelAnswer::NoPromise;
+    return wasThere ? answer : CancelAnswer::Unconfirmed;
 }
 
 }
--- a/src/routing/processtable_test.cpp
+++ b/src/routing/processtable_test.cpp
@@ -18,7 +18,7 @@
                  base::TimePoint sentAt,
                  CancelAnswer answer = CancelAnswer::NeverStarted)
     {
-        return processes.proven(vm, incarnation, answer, sentAt) == answer;
+        return processes.verifiedAnswer(vm, incarnation, answer, sentAt) == answer;
     }
 };
 
@@ -28,12 +28,12 @@
 // started; the refund would be paid again through another server.
 BOOST_FIXTURE_TEST_CASE(processTable_withServingNodeRestarted_takesItsWordForNothingBefore, ProcessFixture)
 {
-    processes.noteHeard(vm, 1);
+    processes.recordMessage(vm, 1);
     clock.advance(1s);
     const auto sentAt = clock.now();
     BOOST_TEST(isProof(1, sentAt));
     clock.advance(100ms);
-    processes.noteHeard(vm, 2);
+    processes.recordMessage(vm, 2);
     BOOST_TEST(!isProof(2, sentAt));
     BOOST_TEST(!isProof(1, sentAt)); // A late message: which process sent it last is not known any more.
     BOOST_TEST(isProof(2, clock.now()));
--- a/src/routing/retrybudget.cpp
+++ b/src/routing/retrybudget.cpp
@@ -16,7 +16,7 @@
 
 }
 
-RetryBudgetSettings partOf(const FleetRetryLimit &limit, std::size_t nodes)
+RetryBudgetSettings nodeRetryBudget(const FleetRetryLimit &limit, std::size_t nodes)
 {
     constexpr double ratioPart = 0.65;
     constexpr double slackPart = 0.3;
@@ -25,9 +25,9 @@
     RetryBudgetSettings settings;
     settings.share = ratioPart * limit.ratio;
     settings.window = limit.window / memory;
-    settings.reserve = slackPart * limit.slack / static_cast<double>(std::max<std::size_t>(1, nodes));
-    settings.reservePerSecond = settings.reserve / seconds(limit.window);
-    settings.debt = std::min(longestDebt, settings.reserve);
+    settings.maxReserve = slackPart * limit.slack / static_cast<double>(std::max<std::size_t>(1, nodes));
+    settings.reservePerSecond = settings.maxReserve / seconds(limit.window);
+    settings.maxDebt = std::min(longestDebt, settings.maxReserve);
     return settings;
 }
 
@@ -46,12 +46,12 @@
 RetryBudget::Account &RetryBudget::refreshed(Map &accounts, const Id &id)
 {
     const auto now = m_clock.now();
-    const auto [position, isNew] = accounts.try_emplace(id, Account{0, m_settings.reserve, now});
+    const auto [position, isNew] = accounts.try_emplace(id, Account{0, m_settings.maxReserve, now});
     Account &account = position->second;
     if (!isNew) {
         const double elapsed = seconds(now - account.updated);
         account.earned *= std::exp(-elapsed / seconds(m_settings.window));
-        account.reserve = std::min(m_settings.reserve, account.reserve + elapsed * m_settings.reservePerSecond);
+        account.reserve = std::min(m_settings.maxReserve, account.reserve + elapsed * m_settings.reservePerSecond);
         account.updated = now;
     }
     return account;
@@ -64,7 +64,7 @@
 
 bool RetryBudget::canSpend(const Account &account) const
 {
-    return available(account) + m_settings.debt + epsilon >= 1;
+    return available(account) + m_settings.maxDebt + epsilon >= 1;
 }
 
 void RetryBudget::take(Account &account)
@@ -101,7 +101,7 @@
 void RetryBudget::tick()
 {
     // After ten windows nothing earned is left, and the reserve is full by then unless it fills slower still.
-    const double refill = m_settings.reserve / std::max(m_settings.reservePerSecond, epsilon);
+    const double refill = m_settings.maxReserve / std::max(m_settings.reservePerSecond, epsilon);
     const double idle = std::max(10 * seconds(m_settings.window), refill);
     const auto now = m_clock.now();
     const auto isIdle = [&](const auto &entry) { return seconds(now - entry.second.updated) > idle; };
@@ -114,7 +114,7 @@
     return m_counters;
 }
 
-std::map<base::ServiceId, double> RetryBudget::left()
+std::map<base::ServiceId, double> RetryBudget::availableRetries()
 {
     std::map<base::ServiceId, double> result;
     for (const auto &[service, account] : m_services) {
--- a/src/routing/retrypolicy.cpp
+++ b/src/routing/retrypolicy.cpp
@@ -123,16 +123,16 @@
 
 void RetryPolicy::beginAttempt(RequestProgress &progress)
 {
-    if (progress.tries == 0) {
+    if (progress.nodeAttempts == 0) {
         m_budget.countRequest(progress.service, progress.workspace);
     }
-    ++progress.tries;
-    ++progress.attempts;
+    ++progress.nodeAttempts;
+    ++progress.serverAttempts;
 }
 
 bool RetryPolicy::mayTryAgain(const RequestProgress &progress) const
 {
-    return progress.attempts < progress.maxAttempts && progress.tries < m_settings.maxTries
+    return progress.serverAttempts < progress.maxAttempts && progress.nodeAttempts < m_settings.maxNodeAttempts
         && m_clock.now() < progress.deadline;
 }
 
@@ -152,10 +152,11 @@
     switch (result.event) {
     case AttemptEvent::ConnectionRefused:
     case AttemptEvent::CancelNeverStarted:
-        return onProof(progress, result);
+        return onProvenNotRun(progress, result);
     case AttemptEvent::RefusedNotRun:
         // A serving node that has seen the attempt before doesn't say what became of the first copy.
-        return result.code == ResultCode::HopReplayed ? onPossibleRun(progress, result) : onProof(progress, result);
+        return result.code == ResultCode::HopReplayed ? onPossibleRun(progress, result)
+                                                      : onProvenNotRun(progress, result);
     case AttemptEvent::NotAcknowledged:
     case AttemptEvent::AcknowledgedThenSilent:
         return onSilence(progress, result);
@@ -184,7 +185,7 @@
     return refuse(progress, ResultCode::Internal, base::Duration::zero(), "The event is not known.");
 }
 
-RetryDecision RetryPolicy::onProof(RequestProgress &progress, const AttemptResult &result)
+RetryDecision RetryPolicy::onProvenNotRun(RequestProgress &progress, const AttemptResult &result)
 {
     ResultCode code = result.code;
     if (code == ResultCode::Ok) {
@@ -192,7 +193,7 @@
         code = refused ? ResultCode::NoBackendServer : ResultCode::HopUnacknowledged;
     }
     const bool free = neverReachedServer(result);
-    progress.attempts -= free ? 1 : 0;
+    progress.serverAttempts -= free ? 1 : 0;
     if (m_clock.now() >= progress.deadline) {
         return refuse(progress, ResultCode::DeadlineExceeded, result.retryAfter, "The deadline passed.");
     }
@@ -252,10 +253,10 @@
                                   base::Duration retryAfter,
                                   std::string_view reason) const
 {
-    return RetryDecision{RetryAction::Refuse, false, refuseInstead(progress, code, retryAfter), reason};
+    return RetryDecision{RetryAction::Refuse, false, refusalFor(progress, code, retryAfter), reason};
 }
 
-Refusal RetryPolicy::refuseInstead(const RequestProgress &progress, ResultCode code, base::Duration retryAfter) const
+Refusal RetryPolicy::refusalFor(const RequestProgress &progress, ResultCode code, base::Duration retryAfter) const
 {
     Refusal refusal;
     refusal.code = code;
@@ -288,13 +289,13 @@
     timeouts.cancel = std::min(m_settings.cancel, remaining);
     timeouts.answer = remaining;
 
-    const bool isLast = progress.attempts >= progress.maxAttempts;
-    const bool neverSilent = m_settings.answerMultiple <= 0;
+    const bool isLast = progress.serverAttempts >= progress.maxAttempts;
+    const bool neverSilent = m_settings.answerTimeoutFactor <= 0;
     if (isLast || neverSilent || typicalLatency <= base::Duration::zero()) {
         return timeouts;
     }
-    const auto multiple = std::chrono::duration_cast<base::Duration>(typicalLatency * m_settings.answerMultiple);
-    const base::Duration patience = std::min(std::max(multiple, m_settings.minAnswer), remaining / 2);
+    const auto multiple = std::chrono::duration_cast<base::Duration>(typicalLatency * m_settings.answerTimeoutFactor);
+    const base::Duration patience = std::min(std::max(multiple, m_settings.minAnswerTimeout), remaining / 2);
     // Giving up when little more than a usual answer's time is left would only cut the answer short.
     if (patience >= 2 * typicalLatency) {
         timeouts.answer = patience;
--- a/src/routing/retrypolicy_test.cpp
+++ b/src/routing/retrypolicy_test.cpp
@@ -57,15 +57,15 @@
 BOOST_FIXTURE_TEST_CASE(retryBudget_whenSpent_countsWhoseItWas, RetryFixture)
 {
     const base::WorkspaceId south("south");
-    BOOST_TEST(budget.left().empty());
+    BOOST_TEST(budget.availableRetries().empty());
     budget.countRequest(progress.service, progress.workspace);
-    const double before = budget.left().at(progress.service);
+    const double before = budget.availableRetries().at(progress.service);
     BOOST_TEST(budget.spend(progress.service, progress.workspace));
-    BOOST_TEST(budget.left().at(progress.service) == before - 1, boost::test_tools::tolerance(1e-9));
+    BOOST_TEST(budget.availableRetries().at(progress.service) == before - 1, boost::test_tools::tolerance(1e-9));
     while (budget.spend(progress.service, progress.workspace)) {}
     BOOST_TEST(!budget.spend(progress.service, south));
 
-    BOOST_TEST(budget.left().at(progress.service) < 1);
+    BOOST_TEST(budget.availableRetries().at(progress.service) < 1);
     BOOST_TEST(budget.counters().spent == 5U);
     BOOST_TEST(budget.counters().refusedByService == 2U);
     const base::ServiceId van("van");
@@ -105,7 +105,7 @@
     after(AttemptEvent::ServerError);
     RetryDecision decision = after(AttemptEvent::RefusedNotRun, ResultCode::HopQueueFull);
     while (decision.action == RetryAction::RetryElsewhere) {
-        BOOST_TEST_REQUIRE(progress.tries < RetrySettings().maxTries);
+        BOOST_TEST_REQUIRE(progress.nodeAttempts < RetrySettings().maxNodeAttempts);
         decision = after(AttemptEvent::RefusedNotRun, ResultCode::HopQueueFull);
     }
     BOOST_TEST((decision.action == RetryAction::Refuse));
@@ -147,7 +147,7 @@
         mayHaveRun = mayHaveRun || (!isProof(event) && !isOpen) || event == AttemptEvent::CancelDone;
         if (decision.action == RetryAction::RetryElsewhere) {
             RC_ASSERT(idempotent || !mayHaveRun);
-            RC_ASSERT(progress.attempts < RequestProgress().maxAttempts);
+            RC_ASSERT(progress.serverAttempts < RequestProgress().maxAttempts);
             continue;
         }
         if (decision.action == RetryAction::Refuse && decision.refusal.outcome == Outcome::NotRun) {
@@ -194,11 +194,11 @@
 
 BOOST_FIXTURE_TEST_CASE(timeouts_withAttemptsLeft_giveSilentServerAPart, RetryFixture)
 {
-    progress.attempts = 1;
+    progress.serverAttempts = 1;
     BOOST_TEST((policy.timeouts(progress, 25ms).answer == 100ms));
     BOOST_TEST((policy.timeouts(progress, 2s).answer == 5s));
     BOOST_TEST((policy.timeouts(progress, 4s).answer == 10s));
     BOOST_TEST((policy.timeouts(progress, 0s).answer == 10s));
-    progress.attempts = 3;
+    progress.serverAttempts = 3;
     BOOST_TEST((policy.timeouts(progress, 25ms).answer == 10s));
 }
--- a/src/routing/routing_measure.cpp
+++ b/src/routing/routing_measure.cpp
@@ -262,7 +262,7 @@
             claim.key = keyHash(claim.workspace, "key-" + std::to_string(seed) + "-" + std::to_string(i));
             claim.request.low = static_cast<std::uint64_t>(i) + 1;
             claim.retention = base::Duration(1h).count();
-            claim.left = base::Duration(10s).count();
+            claim.remaining = base::Duration(10s).count();
         }
         const std::size_t before = heapBytes();
         IdempotencyLedger ledger(clock, settings);
--- a/src/routing/slotsurvey.cpp
+++ b/src/routing/slotsurvey.cpp
@@ -53,17 +53,18 @@
 {
 }
 
-void SlotSurvey::note(const base::BackendServerId &server, const SlotQuote &quote)
+void SlotSurvey::recordQuote(const base::BackendServerId &server, const SlotQuote &quote)
 {
-    const auto found = std::find_if(
-        m_open.begin(), m_open.end(), [&](const auto &entry) { return m_candidates[entry.first].server == server; });
-    if (found == m_open.end()) {
+    const auto found = std::find_if(m_pending.begin(), m_pending.end(), [&](const auto &entry) {
+        return m_candidates[entry.first].server == server;
+    });
+    if (found == m_pending.end()) {
         return;
     }
     const std::size_t index = found->first;
-    m_open.erase(found);
+    m_pending.erase(found);
     m_quotes[index] = quote;
-    m_candidates[index].quoted = quote.wait + quote.run;
+    m_candidates[index].quotedTime = quote.wait + quote.run;
     m_candidates[index].failureRisk = quote.failureRisk;
     m_candidates[index].idle = quote.idle;
 }
@@ -71,15 +72,15 @@
 SurveyStep SlotSurvey::next(base::TimePoint now, std::mt19937_64 &random)
 {
     if (m_waiting) {
-        if (const auto index = atOnce()) {
+        if (const auto index = immediateChoice()) {
             return take(*index);
         }
         if (!m_graceBegan && best(base::Duration::zero())) {
             m_graceBegan = true;
-            m_waveEnds = std::min(m_waveEnds, now + m_settings.grace);
+            m_waveEnds = std::min(m_waveEnds, now + m_settings.graceAfterAnswer);
         }
         const bool complete = std::none_of(
-            m_open.begin(), m_open.end(), [&](const auto &entry) { return entry.second == m_waveBegan; });
+            m_pending.begin(), m_pending.end(), [&](const auto &entry) { return entry.second == m_waveBegan; });
         if (!complete && now < m_waveEnds) {
             SurveyStep wait;
             wait.until = m_waveEnds;
@@ -101,7 +102,7 @@
         m_waiting = true;
         m_graceBegan = false;
         m_waveBegan = now;
-        m_waveEnds = now + m_settings.patience;
+        m_waveEnds = now + m_settings.waveTimeout;
         step.until = m_waveEnds;
         return step;
     }
@@ -116,8 +117,8 @@
 std::vector<std::size_t> SlotSurvey::silent(base::TimePoint now) const
 {
     std::vector<std::size_t> found;
-    for (const auto &[index, since] : m_open) {
-        if (now - since >= m_settings.patience) {
+    for (const auto &[index, since] : m_pending) {
+        if (now - since >= m_settings.waveTimeout) {
             found.push_back(index);
         }
     }
@@ -133,7 +134,7 @@
 {
     SurveyTally tally;
     tally.asked = m_asked;
-    tally.silent = m_open.size();
+    tally.silent = m_pending.size();
     for (const auto &quote : m_quotes) {
         if (!quote) {
             continue;
@@ -156,13 +157,13 @@
 {
     const std::size_t size = m_waves == 0 ? m_settings.firstWave : m_settings.laterWave;
     std::vector<std::size_t> wave;
-    while (wave.size() < size && m_asked < m_settings.mostAsked) {
+    while (wave.size() < size && m_asked < m_settings.maxAsked) {
         const Placement placement = m_policy.place(m_candidates, m_request, random);
         if (!placement.candidate) {
             break;
         }
         open(*placement.candidate, now, wave);
-        const auto alike = m_waves == 0 ? alikeTo(*placement.candidate, random) : std::nullopt;
+        const auto alike = m_waves == 0 ? similarCostServer(*placement.candidate, random) : std::nullopt;
         if (alike && wave.size() < size) {
             open(*alike, now, wave);
         }
@@ -174,15 +175,15 @@
 void SlotSurvey::open(std::size_t index, base::TimePoint now, std::vector<std::size_t> &wave)
 {
     wave.push_back(index);
-    m_open.emplace(index, now);
+    m_pending.emplace(index, now);
     m_request.tried.push_back(m_candidates[index].server);
     ++m_asked;
 }
 
 /// Any server that would cost about as much as `best`, each as likely.
-std::optional<std::size_t> SlotSurvey::alikeTo(std::size_t best, std::mt19937_64 &random) const
+std::optional<std::size_t> SlotSurvey::similarCostServer(std::size_t best, std::mt19937_64 &random) const
 {
-    const double most = costOf(best) + m_settings.worthExploring;
+    const double most = costOf(best) + m_settings.explorationTolerance;
     std::vector<std::size_t> alike;
     for (std::size_t index = 0; index < m_candidates.size(); ++index) {
         const Candidate &candidate = m_candidates[index];
@@ -209,7 +210,7 @@
         if (!quote || quote->held != held || quote->code != ResultCode::Ok || quote->wait > longestWait) {
             continue;
         }
-        if (held && !m_doubtful.isWorthTrying(quote->failureRisk, m_request.idempotent)) {
+        if (held && !m_grayPolicy.isWorthTrying(quote->failureRisk, m_request.idempotent)) {
             continue;
         }
         const double cost = costOf(index);
@@ -222,15 +223,15 @@
 }
 
 /// A free server that no answer still open can beat by much.
-std::optional<std::size_t> SlotSurvey::atOnce() const
+std::optional<std::size_t> SlotSurvey::immediateChoice() const
 {
     const auto free = best(base::Duration::zero());
     if (!free) {
         return std::nullopt;
     }
     const double cost = costOf(*free);
-    const bool canBeBeaten = std::any_of(m_open.begin(), m_open.end(), [&](const auto &entry) {
-        return entry.second == m_waveBegan && costOf(entry.first) + m_settings.worthWaiting < cost;
+    const bool canBeBeaten = std::any_of(m_pending.begin(), m_pending.end(), [&](const auto &entry) {
+        return entry.second == m_waveBegan && costOf(entry.first) + m_settings.minSavingToWait < cost;
     });
     return canBeBeaten ? std::nullopt : free;
 }
@@ -275,47 +276,47 @@
     return refusal;
 }
 
-SilenceBook::SilenceBook(const base::Clock &clock)
+SilentNodes::SilentNodes(const base::Clock &clock)
     : m_clock(clock)
 {
 }
 
-bool SilenceBook::noteSilent(const base::VmId &vm)
+bool SilentNodes::markSilent(const base::VmId &vm)
 {
     return m_since.insert_or_assign(vm, m_clock.now()).second;
 }
 
-bool SilenceBook::noteHeard(const base::VmId &vm)
+bool SilentNodes::markResponsive(const base::VmId &vm)
 {
     return m_since.erase(vm) > 0;
 }
 
-bool SilenceBook::isSilent(const base::VmId &vm) const
+bool SilentNodes::isSilent(const base::VmId &vm) const
 {
     const auto found = m_since.find(vm);
     return found != m_since.end() && m_clock.now() - found->second < silenceMemory;
 }
 
-IdleBook::IdleBook(const base::Clock &clock)
+ServerIdleTimes::ServerIdleTimes(const base::Clock &clock)
     : m_clock(clock)
 {
 }
 
-void IdleBook::note(const base::BackendServerId &server, base::Duration idle)
+void ServerIdleTimes::record(const base::BackendServerId &server, base::Duration idle)
 {
-    m_told[server] = Told{idle, m_clock.now()};
+    m_reports[server] = IdleReport{idle, m_clock.now()};
 }
 
-base::Duration IdleBook::idle(const base::BackendServerId &server) const
+base::Duration ServerIdleTimes::idle(const base::BackendServerId &server) const
 {
-    const auto found = m_told.find(server);
-    const bool isFresh = found != m_told.end() && m_clock.now() - found->second.heardAt < idleMemory;
+    const auto found = m_reports.find(server);
+    const bool isFresh = found != m_reports.end() && m_clock.now() - found->second.receivedAt < idleMemory;
     return isFresh ? found->second.idle : base::Duration::zero();
 }
 
-void IdleBook::expire()
+void ServerIdleTimes::expire()
 {
-    std::erase_if(m_told, [&](const auto &entry) { return m_clock.now() - entry.second.heardAt >= idleMemory; });
+    std::erase_if(m_reports, [&](const auto &entry) { return m_clock.now() - entry.second.receivedAt >= idleMemory; });
 }
 
 }
--- a/src/routing/slotsurvey_test.cpp
+++ b/src/routing/slotsurvey_test.cpp
@@ -28,7 +28,7 @@
             candidates.push_back(candidate);
         }
         request.zone = base::ZoneId("near");
-        request.wantedIn = 1200ms;
+        request.remainingTarget = 1200ms;
         request.remaining = 2s;
     }
 
@@ -43,11 +43,11 @@
     }
     void answer(SlotSurvey &survey, std::size_t index, base::Duration wait, double risk = 0.13)
     {
-        survey.note(candidates[index].server, {base::ResultCode::Ok, wait, 300ms, risk});
+        survey.recordQuote(candidates[index].server, {base::ResultCode::Ok, wait, 300ms, risk});
     }
     void refuse(SlotSurvey &survey, std::size_t index, base::ResultCode code, base::Duration wait, double risk = 0.13)
     {
-        survey.note(candidates[index].server, {code, wait, 300ms, risk});
+        survey.recordQuote(candidates[index].server, {code, wait, 300ms, risk});
     }
     void hold(SlotSurvey &survey,
               std::size_t index,
@@ -55,7 +55,7 @@
               base::Duration wait = 0ms,
               base::ResultCode code = base::ResultCode::Ok)
     {
-        survey.note(candidates[index].server, {code, wait, 300ms, risk, 0ms, true});
+        survey.recordQuote(candidates[index].server, {code, wait, 300ms, risk, 0ms, true});
     }
 
     base::ManualClock clock;
@@ -256,8 +256,8 @@
 {
     SlotSurvey asked = survey(2);
     next(asked);
-    asked.note(candidates[0].server, {base::ResultCode::Ok, 0ms, 500ms, 0.13, 1s});
-    asked.note(candidates[1].server, {base::ResultCode::Ok, 0ms, 300ms, 0.13, 100ms});
+    asked.recordQuote(candidates[0].server, {base::ResultCode::Ok, 0ms, 500ms, 0.13, 1s});
+    asked.recordQuote(candidates[1].server, {base::ResultCode::Ok, 0ms, 300ms, 0.13, 100ms});
     const SurveyStep step = next(asked);
     BOOST_TEST((step.kind == Kind::Take));
     BOOST_TEST(step.candidate == 0U);
@@ -265,10 +265,10 @@
 
 BOOST_AUTO_TEST_CASE(idleness_afterASecond_isForgotten)
 {
-    IdleBook book(clock);
+    ServerIdleTimes book(clock);
     const base::BackendServerId server("s1");
     BOOST_TEST((book.idle(server) == 0ms));
-    book.note(server, 2s);
+    book.record(server, 2s);
     BOOST_TEST((book.idle(server) == 2s));
     clock.advance(1s);
     BOOST_TEST((book.idle(server) == 0ms));
@@ -284,14 +284,14 @@
 
 BOOST_AUTO_TEST_CASE(silence_afterASecond_isForgotten)
 {
-    SilenceBook book(clock);
-    BOOST_TEST(book.noteSilent(base::VmId("vm-1")));
-    BOOST_TEST(!book.noteSilent(base::VmId("vm-1")));
+    SilentNodes book(clock);
+    BOOST_TEST(book.markSilent(base::VmId("vm-1")));
+    BOOST_TEST(!book.markSilent(base::VmId("vm-1")));
     BOOST_TEST(book.isSilent(base::VmId("vm-1")));
     clock.advance(1s);
     BOOST_TEST(!book.isSilent(base::VmId("vm-1")));
-    BOOST_TEST(book.noteHeard(base::VmId("vm-1")));
-    BOOST_TEST(!book.noteHeard(base::VmId("vm-1")));
+    BOOST_TEST(book.markResponsive(base::VmId("vm-1")));
+    BOOST_TEST(!book.markResponsive(base::VmId("vm-1")));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
