--- a/src/include/papayastep/membership/transferanswers.h
+++ b/src/include/papayastep/membership/transferanswers.h
@@ -10,30 +10,30 @@
 
 namespace papayastep::membership {
 
-struct SpreadSettings;
+struct DistributionSettings;
 
-/// The transfers that answer requests of other nodes, and how many of them a node sends. Not thread-safe.
+/// Builds the transfers that answer requests of other nodes, and limits how many a node sends. Not thread-safe.
 class TransferAnswers
 {
 public:
     using Parts = std::vector<std::string>; ///< Encoded TransferParts.
 
-    /// `clock` and `settings` must outlive this.
-    TransferAnswers(const base::Clock &clock, const SpreadSettings &settings);
+    /// `clock` and `settings` must outlive this object.
+    TransferAnswers(const base::Clock &clock, const DistributionSettings &settings);
 
-    /// What turns the files `have` into those of `store`; `previous` is the revision before it. Null where this
-    /// second's answers are used up. Valid until the next call.
+    /// Returns the patch that turns the files `have` into those of `store`; `previous` is the revision before it. Null
+    /// if the answers of the current second are used up. Valid until the next call.
     const Parts *configuration(const config::FileListing &have,
                                const config::ConfigStore &store,
                                const config::ConfigStore &previous);
-    /// The whole list, alike.
+    /// Returns the complete VM list, under the same conditions.
     const Parts *vmList(const config::VmList &list);
 
-    /// Requests beyond the limit since the start.
+    /// Number of requests beyond the limit since the start.
     std::uint64_t declined() const;
 
 private:
-    /// Kept, since many nodes ask for the same after a large change.
+    /// Cached, because many nodes request the same after a large change.
     struct CachedAnswer
     {
         std::string baseDigest;
@@ -41,13 +41,13 @@
         Parts parts;
     };
 
-    bool mayAnswer();
+    bool takeAnswerSlot();
 
     const base::Clock &m_clock;
-    const SpreadSettings &m_settings;
+    const DistributionSettings &m_settings;
     std::optional<CachedAnswer> m_configuration;
     std::optional<CachedAnswer> m_vmList;
-    base::TimePoint m_window{};
+    base::TimePoint m_windowStart{};
     std::size_t m_answers = 0;
     std::uint64_t m_declined = 0;
 };
--- a/src/membership/transfer.cpp
+++ b/src/membership/transfer.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t rememberedDone = 64;
+constexpr std::size_t maxRememberedCompleted = 64;
 
 [[noreturn]] void throwMalformed(const std::string &detail)
 {
@@ -40,9 +40,9 @@
     return payloads;
 }
 
-TransferAssembler::TransferAssembler(const base::Clock &clock, std::size_t largestTransfer)
+TransferAssembler::TransferAssembler(const base::Clock &clock, std::size_t largestTransferBytes)
     : m_clock(clock)
-    , m_largest(largestTransfer)
+    , m_largestTransferBytes(largestTransferBytes)
 {
 }
 
@@ -51,23 +51,23 @@
                                                         std::string_view payload)
 {
     if (part.count == 0 || part.count > maxParts || part.index >= part.count) {
-        throwMalformed("a transfer has too many parts");
+        throwMalformed("a transfer has too many parts, or a part has an invalid index");
     }
-    if (wasDone(part)) {
+    if (isCompleted(part)) {
         return std::nullopt;
     }
     Assembly &assembly = assemblyOf(from, part);
     if (assembly.payloads.size() != part.count) {
-        throwMalformed("the parts of a transfer disagree on their number");
+        throwMalformed("the parts of a transfer state different numbers of parts");
     }
-    std::string &place = assembly.payloads[part.index];
-    if (!place.empty()) {
+    std::string &slot = assembly.payloads[part.index];
+    if (!slot.empty()) {
         return std::nullopt;
     }
-    if (assembly.bytes + part.bytes.size() > m_largest) {
-        throwMalformed("a transfer is too large");
+    if (assembly.bytes + part.bytes.size() > m_largestTransferBytes) {
+        throwMalformed("a transfer exceeds the size limit");
     }
-    place = payload;
+    slot = payload;
     assembly.bytes += part.bytes.size();
     assembly.lastProgress = m_clock.now();
     --assembly.missing;
@@ -84,7 +84,7 @@
     expire();
     std::erase_if(m_assemblies, [&from](const Assembly &assembly) { return assembly.from == from; });
     if (m_assemblies.size() == maxAssemblies) {
-        throwMalformed("too many transfers at once");
+        throwMalformed("too many transfers are incomplete at once");
     }
     Assembly assembly;
     assembly.from = from;
@@ -96,10 +96,10 @@
     return m_assemblies.emplace_back(std::move(assembly));
 }
 
-bool TransferAssembler::wasDone(const TransferPart &part) const
+bool TransferAssembler::isCompleted(const TransferPart &part) const
 {
-    return std::any_of(m_done.begin(), m_done.end(), [&part](const Done &done) {
-        return done.checksum == part.checksum && done.treeRoot == part.treeRoot;
+    return std::any_of(m_completed.begin(), m_completed.end(), [&part](const CompletedId &completed) {
+        return completed.checksum == part.checksum && completed.treeRoot == part.treeRoot;
     });
 }
 
@@ -112,11 +112,11 @@
         transfer.bytes += wire::decode<TransferPart>(payload).bytes;
     }
     if (base::stableHash(transfer.bytes, part.version) != part.checksum) {
-        throwMalformed("a transfer differs from its checksum");
+        throwMalformed("the checksum of a transfer does not match its bytes");
     }
-    m_done.push_back({part.checksum, part.treeRoot});
-    if (m_done.size() > rememberedDone) {
-        m_done.pop_front();
+    m_completed.push_back({part.checksum, part.treeRoot});
+    if (m_completed.size() > maxRememberedCompleted) {
+        m_completed.pop_front();
     }
     return transfer;
 }
@@ -124,7 +124,7 @@
 void TransferAssembler::expire()
 {
     const base::TimePoint now = m_clock.now();
-    std::erase_if(m_assemblies, [now](const Assembly &assembly) { return now - assembly.lastProgress > patience; });
+    std::erase_if(m_assemblies, [now](const Assembly &assembly) { return now - assembly.lastProgress > stallTimeout; });
 }
 
 }
