--- a/src/include/papayastep/routing/attemptregistry.h
+++ b/src/include/papayastep/routing/attemptregistry.h
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-/// The serving node's memory of attempts, which makes `never started, never will` a promise that it can keep.
+/// The serving node's record of attempts, by which it can guarantee that a cancelled attempt never starts.
 namespace papayastep::routing {
 
 struct AttemptId
@@ -28,64 +28,68 @@
 
 enum class RegistrationResult {
     Accepted,
-    Replayed, ///< Seen before: no word on what the first did (HopReplayed, outcome unknown).
-    Cancelled, ///< Cancelled before it came (HopCancelled, not-run).
-    TooLate, ///< Its deadline passed on the way (HopQueueTimeout, not-run).
-    Full, ///< No room to remember it (HopQueueFull, not-run).
+    Replayed, ///< The same attempt arrived before; what became of it is not reported (HopReplayed, outcome unknown).
+    Cancelled, ///< The cancel arrived before the attempt (HopCancelled, not-run).
+    TooLate, ///< Its deadline passed in transit (HopQueueTimeout, not-run).
+    Full, ///< The registry has no room to record it (HopQueueFull, not-run).
 };
 
 struct AttemptRegistration
 {
     RegistrationResult result = RegistrationResult::Full;
-    base::TimePoint deadline; ///< By this node's clock, with the delay under way taken off.
+    base::TimePoint deadline; ///< By this node's clock, less the delay in transit.
 
     auto operator<=>(const AttemptRegistration &) const = default;
 };
 
 enum class CancelAnswer {
-    NeverStarted, ///< And never will.
+    NeverStarted, ///< The attempt has not started and never will.
     Started,
     Done,
-    HandedOver, ///< A sibling has it now: pass the cancel on to it, and let it answer the entry.
-    Unconfirmed, ///< No room to remember a promise. The entry must treat it as unanswered.
+    HandedOver, ///< A sibling has the attempt: the cancel is to be forwarded to it, and it answers the entry.
+    Unconfirmed, ///< The registry has no room to record the cancel. The entry must treat the cancel as unanswered.
 };
 
 std::string_view name(CancelAnswer answer);
 
 struct AttemptRegistrySettings
 {
-    std::size_t capacity = 100'000; ///< Attempts remembered at once, open and past.
-    std::size_t cancelReserve = 5'000; ///< Of those, kept for cancels that overtake their attempt.
+    std::size_t capacity = 100'000; ///< Largest number of records, of open and past attempts together.
+    std::size_t cancelReserve = 5'000; ///< Part of the capacity reserved for cancels that arrive before their attempt.
 };
 
-/// Each attempt is remembered until its request's deadline has surely passed. An attempt or a copy of it that
-/// arrives later still is refused by its delay (HopDelay): the cancel or the first copy gave the sender's clock.
+/// Records the attempts that a serving node has received, so that none runs twice and none runs after its cancel.
+///
+/// Each attempt is recorded until its request's deadline has certainly passed. An attempt or a copy of it that arrives
+/// after that is refused because of its delay (HopDelay), as the cancel or the first copy carried the sender's clock.
 class AttemptRegistry
 {
 public:
     explicit AttemptRegistry(const base::Clock &clock, AttemptRegistrySettings settings = {});
 
-    /// An attempt arrives with `remaining` time, counted from `stamp`. Accepted ones are queued.
+    /// Registers an attempt that arrives with `remaining` time, counted from `stamp`. An accepted attempt counts as
+    /// queued.
     AttemptRegistration registerAttempt(const AttemptId &id, const SentStamp &stamp, base::Duration remaining);
 
-    /// Call right before the first byte goes to the backend server. False: it was cancelled or its deadline has
-    /// passed, and it must not run.
+    /// Marks the attempt as started; called right before the first byte is sent to the backend server. Returns false if
+    /// it was cancelled or its deadline has passed; it must not run then.
     bool start(const AttemptId &id);
 
-    /// The attempt was taken out of the queue and will never start (shed, queue timeout).
+    /// Records that the attempt was removed from the queue and will never start (shed, queue timeout).
     void drop(const AttemptId &id);
 
-    /// The attempt is given to a sibling; call before the first byte goes to it. False: it was cancelled, so don't.
-    /// If the sibling refuses it as not-run, call drop().
+    /// Records that the attempt is handed over to a sibling; called before the first byte is sent to it. Returns false
+    /// if the attempt was cancelled; it must not be handed over then. If the sibling refuses it as not-run, call
+    /// drop().
     bool handOver(const AttemptId &id);
 
-    /// The backend server has answered, or the connection to it is closed.
+    /// Records that the backend server has answered, or that the connection to it is closed.
     void finish(const AttemptId &id);
 
-    /// The entry asks to cancel. The attempt may not have come yet.
+    /// Handles a cancel from the entry. The attempt may not have arrived yet.
     CancelAnswer cancel(const AttemptId &id, const SentStamp &stamp, base::Duration remaining);
 
-    /// Forgets attempts whose deadline has surely passed. Called by the above too.
+    /// Removes attempts whose deadline has certainly passed. registerAttempt() and cancel() call it too.
     void tick();
 
     std::size_t size() const;
--- a/src/include/papayastep/routing/grayserverpolicy.h
+++ b/src/include/papayastep/routing/grayserverpolicy.h
@@ -4,27 +4,28 @@
 
 namespace papayastep::routing {
 
-/// Costs are parts of what an answer is worth to the caller.
+/// Costs are fractions of the value of an answer to the caller.
 struct GrayServerSettings
 {
-    /// Share of the requests that a server fails while it is in a gray spell.
+    /// Fraction of its requests that a server fails during a gray failure.
     double grayFailureRatio = health::FailureFilterSettings().grayFailures;
-    /// A failed request that can be repeated: the work and the time of the repeat.
+    /// Cost of a failed request that can be repeated: the work and the time of the repeat.
     double repeatCost = 0.15;
-    /// A failed request that cannot be repeated: its caller has to find out whether it ran.
+    /// Cost of a failed request that cannot be repeated: its caller has to find out whether it ran.
     double unknownOutcomeCost = 1;
 };
 
-/// Whether a request is better given to a server that may be in a gray spell than refused.
+/// Decides whether to send a request to a server that may be in a gray failure or to refuse the request.
 ///
-/// For overloads in which every server that is not held back is full. A refusal is worth nothing to the caller, but it
-/// is sure; a request that can be repeated loses little by a failure, another one leaves its caller in doubt.
+/// It is used in overloads in which every server that is not held back is full. A refusal has no value for the caller,
+/// but its outcome is certain. A failure costs little for a request that can be repeated; for any other request it
+/// leaves the caller not knowing whether the request ran.
 class GrayServerPolicy
 {
 public:
     explicit GrayServerPolicy(const GrayServerSettings &settings = {});
 
-    /// `grayProbability` of the server, 0 to 1.
+    /// Returns the expected value of sending the request; `grayProbability` of the server is 0 to 1.
     double expectedValue(double grayProbability, bool idempotent) const;
 
     bool isWorthTrying(double grayProbability, bool idempotent) const;
--- a/src/include/papayastep/routing/hopdelay.h
+++ b/src/include/papayastep/routing/hopdelay.h
@@ -8,31 +8,32 @@
 
 namespace papayastep::routing {
 
-/// When a message left its sender, by the sender's own monotonic clock.
+/// The time at which a message left its sender, by the sender's own monotonic clock.
 struct SentStamp
 {
     base::VmId sender;
     base::Incarnation incarnation = 0;
-    base::Duration sent{0}; ///< TimePoint::time_since_epoch() at the sender.
+    base::Duration sent{0}; ///< TimePoint::time_since_epoch() of the sender's clock.
 
     auto operator<=>(const SentStamp &) const = default;
 };
 
-/// How long a message was under way, without synchronised clocks.
+/// Estimates how long a message was in transit, without synchronised clocks.
 ///
-/// A hop says how much time is left, counted from when it was sent. If it is held up (a paused process, a network
-/// that delivers late) the receiver would take an old request for a new one and run it after its entry has given
-/// up. The quickest message of a sender so far gives the difference of the two clocks; what a later one takes
-/// longer is its delay. It is never overstated by more than the drift allowed for.
+/// A hop carries its remaining time, counted from when it was sent. If it is delayed (by a paused process or a network
+/// that delivers late), the receiver would treat an old request as a new one and run it after its entry has given up.
+/// The fastest message of a sender so far gives the difference between the two clocks; the additional time of a later
+/// message is its delay. The estimate exceeds the true delay by at most the allowance for clock drift.
 class HopDelay
 {
 public:
     explicit HopDelay(const base::Clock &clock);
 
-    /// The delay of a message that arrives now, at minimum 0. The first of an incarnation counts as not delayed.
+    /// Returns the delay of a message that arrives now, at least 0. The first message of an incarnation counts as not
+    /// delayed.
     base::Duration observe(const SentStamp &stamp);
 
-    /// Forgets senders not heard for an hour. Call now and then.
+    /// Removes senders from which no message has arrived for an hour. To be called from time to time.
     void tick();
 
     std::size_t size() const;
@@ -40,7 +41,7 @@
 private:
     struct Offset
     {
-        base::Duration minimum{0}; ///< Arrival minus sent.
+        base::Duration minimum{0}; ///< Smallest difference between arrival time and sending time.
         base::TimePoint since;
         base::TimePoint lastReceived;
     };
--- a/src/include/papayastep/routing/idempotencyhome.h
+++ b/src/include/papayastep/routing/idempotencyhome.h
@@ -10,11 +10,11 @@
 #include <string_view>
 #include <vector>
 
-/// Which VM keeps the ledger entry of an idempotency key.
+/// Chooses the VM that keeps the ledger record of an idempotency key: the home of the key.
 namespace papayastep::routing {
 
-/// BLAKE2b-128 of something. Cryptographic, since a workspace that could make its key collide with another
-/// workspace's would be given the other's answer.
+/// A BLAKE2b-128 digest. The hash is cryptographic, since a workspace that could make its key collide with a key of
+/// another workspace would receive the other's answer.
 struct Digest128
 {
     std::array<std::uint8_t, 16> bytes{};
@@ -22,7 +22,7 @@
     std::string_view view() const;
     auto operator<=>(const Digest128 &) const = default;
 
-    /// For the codec of messages: travels as 16 bytes.
+    /// For the codec of messages: the digest is encoded as 16 bytes.
     template<typename Packer>
     void msgpack_pack(Packer &packer) const
     {
@@ -40,25 +40,27 @@
     void assign(std::string_view raw);
 };
 
-/// Stands for a caller's Idempotency-Key. A key belongs to its workspace, whatever the service.
+/// Hash of a caller's Idempotency-Key. A key belongs to its workspace, independently of the service.
 using KeyHash = Digest128;
 KeyHash keyHash(const base::WorkspaceId &workspace, std::string_view key);
 
-/// Tells a repeat from another request that uses the same key.
+/// Hash of a request, which distinguishes a repeat from another request that uses the same key.
 using BodyDigest = Digest128;
 BodyDigest bodyDigest(std::string_view method, std::string_view target, std::string_view body);
 
-/// Whether `key` may be used: 1 to 255 visible ASCII characters.
+/// Returns whether `key` is valid: 1 to 255 visible ASCII characters.
 bool isValidIdempotencyKey(std::string_view key);
 
-/// The time inside a UUID of version 7 (RFC 9562), to the millisecond; nothing for any other key.
+/// Returns the time in a UUID of version 7 (RFC 9562), in milliseconds resolution, or nothing for any other key.
 std::optional<base::WallTime> timeOfKey(std::string_view key);
 
-/// The home of `key` among `vms`: the same on every node with the same configuration. Health plays no part, else two
-/// entries with different views would ask two homes and each would be told to run. Empty for no VMs.
+/// Returns the home of `key` among `vms`, which is the same on every node with the same configuration. It does not
+/// depend on health, since two entries with different views of it would ask two homes and each would be told to run the
+/// request. The result is empty if there are no VMs.
 base::VmId homeOf(const KeyHash &key, const std::vector<base::VmId> &vms);
 
-/// The VM that would be home without homeOf(): it gets the entry when the home stops. Empty for one VM.
+/// Returns the VM that would be home without homeOf(); it receives the records when the home stops. The result is empty
+/// if there is only one VM.
 base::VmId nextHomeOf(const KeyHash &key, const std::vector<base::VmId> &vms);
 
 }
--- a/src/include/papayastep/routing/idempotencyledger.h
+++ b/src/include/papayastep/routing/idempotencyledger.h
@@ -14,58 +14,64 @@
 
 struct LedgerSettings
 {
-    std::size_t maxBytes = 8u << 20; ///< All records together.
-    std::size_t maxBytesOfWorkspace = 2u << 20; ///< So that one workspace can't fill the ledger for all.
+    std::size_t maxBytes = 8u << 20; ///< Limit for all records together.
+    std::size_t maxBytesOfWorkspace = 2u << 20; ///< Limit that keeps one workspace from filling the ledger.
     std::size_t maxAnswerBytes = 64u << 10; ///< Larger answers are not kept.
-    base::Duration unknownAfter = std::chrono::seconds(2); ///< After its deadline a run without report is unknown.
-    base::Duration maxKeyAhead = std::chrono::seconds(20); ///< A UUIDv7 key may be this far in the future.
+    /// Time after its deadline when an unreported run is unknown.
+    base::Duration unknownAfter = std::chrono::seconds(2);
+    base::Duration maxKeyAhead = std::chrono::seconds(20); ///< Limit for how far in the future a UUIDv7 key may be.
     base::Duration clockSkew = std::chrono::seconds(5); ///< Largest difference between two nodes' calendar clocks.
     base::Duration resendEvery = std::chrono::milliseconds(100);
-    base::Duration claimTimeout = std::chrono::seconds(2); ///< At the entry: then the home is unreachable.
-    base::Duration askNextAfter = std::chrono::milliseconds(250); ///< At the entry: then the next home is asked too.
-    base::Duration fetchTimeout = std::chrono::seconds(1); ///< Claims wait this long for a fetch, then are refused.
-    base::Duration completeTimeout = std::chrono::seconds(30); ///< At the entry: then a report is given up.
-    /// At the entry: an answer waits this long for its report's acknowledgement. Longer than askNextAfter, so that the
-    /// next home of one that has stopped is heard too.
+    /// Time after which the entry treats the home as unreachable.
+    base::Duration claimTimeout = std::chrono::seconds(2);
+    /// Time after which the entry asks the next home too.
+    base::Duration askNextAfter = std::chrono::milliseconds(250);
+    base::Duration fetchTimeout = std::chrono::seconds(1); ///< Time for which claims wait for a fetch before a refusal.
+    base::Duration completeTimeout = std::chrono::seconds(30); ///< Time after which the entry abandons a report.
+    /// Time for which the entry holds an answer back until its report is acknowledged. It is longer than askNextAfter,
+    /// so that the next home of a home that has stopped can acknowledge the report too.
     base::Duration recordTimeout = std::chrono::seconds(1);
-    std::size_t maxPartBytes = 48u << 10; ///< Of one message with records.
-    /// A first installation: no process has served keys before. Without it a new fleet refuses random keys for one
-    /// retention, since it can't tell its first start from a restart of all nodes. It has no effect where a sibling
-    /// has run for longer than this process. Set for a fleet that restarts as a whole, a repeat runs again.
+    std::size_t maxPartBytes = 48u << 10; ///< Approximate limit for one message with records.
+    /// Declares a first installation, in which no earlier process has served keys. Without it a new fleet refuses
+    /// random keys for one retention, since it can't distinguish its first start from a restart of all nodes. It has no
+    /// effect where a sibling has run for longer than this process. If it is set for a fleet that restarts as a whole,
+    /// a repeat runs again.
     bool noEarlierRuns = false;
 };
 
-/// What a home answers to a claim.
+/// The answer of a home to a claim.
 struct ClaimAnswer
 {
     ClaimVerdict verdict = ClaimVerdict::Refuse;
-    StoredAnswer answer; ///< With Answer.
-    Refusal refusal; ///< With Refuse.
+    StoredAnswer answer; ///< Set if the verdict is Answer.
+    Refusal refusal; ///< Set if the verdict is Refuse.
 
     auto operator<=>(const ClaimAnswer &) const = default;
 };
 
-/// The records of one home, in bounded memory. Nothing is forgotten before its retention is over: a full ledger
+/// Keeps the records of one home in bounded memory. No record is removed before its retention is over; a full ledger
 /// refuses new keys instead.
 class IdempotencyLedger
 {
 public:
     IdempotencyLedger(const base::Clock &clock, LedgerSettings settings);
 
-    /// What the records say about `claim`; nothing where they don't know its key, or it was released.
+    /// Returns the answer to `claim` by its record, or nothing if the key has no record or was released.
     std::optional<ClaimAnswer> lookUp(const LedgerClaim &claim) const;
 
-    /// Records that `claim` runs and says so, or refuses because there is no room.
+    /// Records that `claim` runs and returns Run, or refuses the claim if there is no room.
     ClaimAnswer grant(const LedgerClaim &claim);
 
-    /// Notes how a run ended. A report about another request than the one recorded changes nothing. False: the run
-    /// is not recorded and there is no room to record it now.
+    /// Records how a run ended. A report about another request than the recorded one changes nothing. Returns false if
+    /// the run is not recorded and there is no room to record it now.
     bool complete(const LedgerRecord &report);
 
-    /// Takes a record of another home. The one that knows more wins. False: no room, and nothing was taken.
+    /// Merges a record of another home. Of two records for a key, the one with more information is kept. Returns false
+    /// if there is no room; nothing is changed then.
     bool merge(const LedgerRecord &record);
 
-    /// Records with keys after `after`, in order, that `wanted` accepts, up to about maxPartBytes. Sets `last`.
+    /// Returns the records that `wanted` accepts and whose keys follow `after`, in order, up to about maxPartBytes.
+    /// Sets `last` if no more follow.
     std::vector<LedgerRecord> page(const KeyHash &after,
                                    const std::function<bool(const KeyHash &, const base::ServiceId &)> &wanted,
                                    bool &last) const;
@@ -73,7 +79,7 @@
     std::optional<LedgerRecord> record(const KeyHash &key) const;
     bool contains(const KeyHash &key) const;
 
-    /// Forgets some records whose retention is over. Call about once a second.
+    /// Removes some of the records whose retention is over. To be called about once a second.
     void tick();
 
     std::size_t size() const;
@@ -93,7 +99,7 @@
         base::RequestId request;
         BodyDigest digest;
         RecordState state = RecordState::Running;
-        base::TimePoint until; ///< Deadline of the run, or end of the retention.
+        base::TimePoint until; ///< Deadline of the run (Running, Released), or end of the retention.
         base::Duration retention{0};
         UsageMap::value_type *workspace = nullptr;
         const base::ServiceId *service = nullptr;
--- a/src/include/papayastep/routing/leastcostplacement.h
+++ b/src/include/papayastep/routing/leastcostplacement.h
@@ -4,52 +4,56 @@
 
 namespace papayastep::routing {
 
-/// Costs are parts of what a request is worth to its caller: 1 is a request that is lost.
+/// Costs are fractions of the value of a request to its caller: 1 is the cost of a lost request.
 struct LeastCostSettings
 {
-    base::Duration defaultLatency = std::chrono::milliseconds(200); ///< Where none is known.
-    base::Duration staleAfter = std::chrono::seconds(2); ///< Older load figures say nothing about now.
+    base::Duration defaultLatency = std::chrono::milliseconds(200); ///< Used where the latency is not known.
+    base::Duration staleAfter = std::chrono::seconds(2); ///< Age from which load figures are not used.
 
-    /// A failed answer loses a request, but for one that can be repeated: that costs the repeat's work and time.
+    /// Cost of a failed answer: the request is lost. If the request can be repeated, the cost is the work and the time
+    /// of the repeat.
     double lossCost = 1;
     double repeatCost = 0.15;
-    /// An answer that comes later than it is wanted. Operators measured put it at 0.3 of a timely one.
+    /// Cost of an answer after the target latency. Operators put the value of a late answer at 0.3 of a timely one.
     double lateCost = 0.7;
-    /// An answer within the time wanted costs the same whenever it comes; a little is charged for the time all the
-    /// same, so that work goes where it is done soonest.
+    /// Cost of each second of the expected time. All answers within the target latency have the same value; the small
+    /// cost directs work to where it is finished first.
     double costPerSecond = 0.1;
 
-    /// A request and its answer on the way to another availability zone. At the prices measured 4 KB are 5 % of what a
-    /// refund is worth.
+    /// Cost of the transfer of a request and its answer to and from another availability zone. At the prices for
+    /// transfer, 4 KB cost 5 % of the value of a refund.
     double zoneCost = 0.05;
-    double hopCost = 0.005; ///< To another VM: two nodes' work.
+    double hopCost = 0.005; ///< Cost of a hop to another VM: the work of two nodes.
 
-    /// What it gains to learn, by a request that can be repeated, whether a server is out of its gray spell. Without
-    /// scouts one that failed once would get nothing for as long as others are free.
+    /// Value of testing, by a request that can be repeated, whether a server has recovered from a gray failure. Without
+    /// such requests, a server that failed once would get no work for as long as others are free.
     double recoveryProbeGain = 0.1;
 
-    /// What it gains to give a request to a well server that nobody has used for `idleAfter`: it shows how the server
-    /// is now. Without it those that answer soonest, an entry's own first of all, keep all work at light load, and of
-    /// the others nobody knows whether they would serve when they are needed. Half of it is counted after half of the
-    /// time.
+    /// Value of sending a request to a healthy server that has had no request for `idleAfter`, as the request shows the
+    /// server's present state. Without it the servers that answer first, above all the entry's own, get all work at
+    /// light load, and it is not known whether the others could serve when they are needed. The value grows in
+    /// proportion to the idle time: half of it is counted after half of `idleAfter`.
     double idleGain = 0.08;
     base::Duration idleAfter = std::chrono::seconds(1);
 
-    /// Random part of the expected time. Entries with the same stale figures would otherwise all take the same server.
+    /// Random fraction of the expected time. Without it all entries with the same stale figures would choose the same
+    /// server.
     double jitter = 0.2;
-    std::size_t maxScored = 48; ///< Of larger services a random part is looked at.
+    std::size_t maxScored = 48; ///< Number of candidates above which a random subset is scored.
 };
 
-/// Takes the server with the least expected cost: the risk that the answer fails in a gray spell or comes late, and the
-/// way there. For services whose servers are told apart by more than their load; TwoChoicePlacement only compares
-/// two, and of two draws from fourteen servers one is often in a spell or far away.
+/// Chooses the server with the least expected cost, which consists of the risk that the answer fails in a gray failure
+/// or is late, and of the network cost. It suits services whose servers differ in more than their load:
+/// TwoChoicePlacement compares only two servers, and of two drawn from fourteen, one is often in a gray failure or in
+/// another availability zone.
 class LeastCostPlacement final : public PlacementPolicy
 {
 public:
     explicit LeastCostPlacement(base::VmId self, LeastCostSettings settings = {});
 
     std::string_view name() const override;
-    /// Each refusal tells how loaded its server is, and the way there counts; a sibling's advice knows neither as well.
+    /// Returns false: each refusal reports the load of its server, and the network cost is counted; the advice of a
+    /// sibling covers both less well.
     bool followsAdvice() const override;
     Placement place(std::span<const Candidate> candidates,
                     const PlacementRequest &request,
@@ -58,7 +62,7 @@
     double cost(const Candidate &candidate, const PlacementRequest &request) const override;
 
 private:
-    /// `noise` stretches the expected time; 1: not at all.
+    /// Returns the cost with the expected time multiplied by `noise`.
     double cost(const Candidate &candidate, const PlacementRequest &request, double noise) const;
     base::Duration expectedResponseTime(const Candidate &candidate) const;
     double explorationGain(const Candidate &candidate, const PlacementRequest &request) const;
--- a/src/include/papayastep/routing/ledgerclient.h
+++ b/src/include/papayastep/routing/ledgerclient.h
@@ -10,7 +10,7 @@
 {
     base::RequestId request;
     base::WorkspaceId workspace;
-    std::string key; ///< As the caller sent it.
+    std::string key; ///< The key as the caller sent it.
     BodyDigest digest;
     base::ServiceId service;
     base::Duration retention{0};
@@ -19,7 +19,7 @@
     auto operator<=>(const ClaimRequest &) const = default;
 };
 
-/// What the entry does with a request that carries an idempotency key.
+/// The decision about a request that carries an idempotency key.
 struct LedgerDecision
 {
     base::RequestId request;
@@ -28,47 +28,51 @@
     auto operator<=>(const LedgerDecision &) const = default;
 };
 
-/// The entry side of the idempotency ledger. Each claim gets exactly one decision; a verdict that comes after the
-/// claim was given up is not passed on, so a request that was refused never runs.
+/// The entry side of the idempotency ledger: claims keys at their homes and reports how runs ended.
+///
+/// Each claim gets exactly one decision. A verdict that arrives after the claim was abandoned is not returned, so that
+/// a refused request never runs.
 class LedgerClient
 {
 public:
-    /// `home` is the ledger of the same process: claims for it need no message.
+    /// `home` is the home side in the same process; claims for it need no message.
     LedgerClient(const base::Clock &clock, base::VmId self, LedgerHome &home, LedgerSettings settings = {});
 
     void applyConfiguration(config::ConfigurationPtr configuration);
 
-    /// The decision comes by takeDecisions(), often at once.
+    /// Claims the key of `request`. takeDecisions() returns the decision, often at once.
     void claim(const ClaimRequest &request);
 
-    /// How a request that was told to run ended: once for each Run. Its report is resent until the home has it. The
-    /// caller should hear of the end only when isReporting() is false: before that, a repeat through another node may
-    /// be told that the first run has not ended.
+    /// Reports how a request with the verdict Run ended; called once for each Run. The report is resent until the home
+    /// acknowledges it. The answer should go to the caller only when isReporting() is false: before that, a repeat
+    /// through another node may be told that the first run has not ended.
     void completeWithAnswer(const base::RequestId &request, StoredAnswer answer);
-    /// It may have run.
+    /// Reports that the request may have run.
     void completeUnknown(const base::RequestId &request);
-    /// It is proved that it did not run and never will: the key is free again.
+    /// Reports that the request has not run and never will, which releases the key.
     void completeNotRun(const base::RequestId &request);
 
-    /// Whether the home has not acknowledged the report of `request` yet. Each end of that is told by takeRecorded().
+    /// Returns whether the report of `request` is not acknowledged yet. takeRecorded() returns the requests whose
+    /// reports were acknowledged since the last call.
     bool isReporting(const base::RequestId &request) const;
     std::vector<base::RequestId> takeRecorded();
-    /// How long an answer may wait for that.
+    /// Returns how long an answer may wait for the acknowledgement of its report.
     base::Duration recordTimeout() const;
 
-    /// The caller went away while the claim was open: no decision is wanted any more.
+    /// Abandons an open claim whose caller has disconnected; no decision follows.
     void abandon(const base::RequestId &request);
 
     std::vector<LedgerDecision> takeDecisions();
 
-    /// Kinds LedgerClaimResult and LedgerCompleteResult.
+    /// Handles messages of the kinds LedgerClaimResult and LedgerCompleteResult. Throws Error(MessageMalformed,
+    /// MessageUnknownKind).
     void receive(const base::VmId &from, wire::MessageKind kind, std::string_view payload);
     std::vector<wire::Outgoing> takeMessages();
 
     void tick();
     base::TimePoint nextTick() const;
 
-    /// Claims and reports that are open.
+    /// Returns the number of claims and reports that are kept.
     std::size_t size() const;
 
 private:
@@ -79,8 +83,8 @@
         Phase phase = Phase::Claiming;
         LedgerClaim claim;
         base::TimePoint deadline;
-        base::TimePoint began; ///< The phase.
-        base::TimePoint sent; ///< The last message of the phase.
+        base::TimePoint began; ///< Start of the phase.
+        base::TimePoint sent; ///< Time of the last message of the phase.
         LedgerRecord report;
     };
     using EntryMap = std::unordered_map<base::RequestId, Entry>;
--- a/src/include/papayastep/routing/ledgerhome.h
+++ b/src/include/papayastep/routing/ledgerhome.h
@@ -8,68 +8,70 @@
 
 namespace papayastep::routing {
 
-/// The home side of the idempotency ledger: answers claims for the keys that this VM is home of, takes over records
-/// when a key's home moves, and gives them away when this node stops. docs/design/idempotency.md holds the argument
-/// why a key runs at most once.
+/// The home side of the idempotency ledger: answers claims for the keys whose home is this VM, fetches records when the
+/// home of a key moves, and hands them over when this node stops. docs/design/idempotency.md contains the argument why
+/// a key runs at most once.
 class LedgerHome
 {
 public:
     LedgerHome(const base::Clock &clock, base::VmId self, base::Incarnation incarnation, LedgerSettings settings = {});
 
-    /// The configuration in force. Moves homes where the VMs of a service differ.
+    /// Applies the configuration in force. Homes move where the VMs of a service differ.
     void applyConfiguration(config::ConfigurationPtr configuration);
 
-    /// The platform's list. A VM that was asked for records and is no longer listed counts as stopped.
+    /// Applies the platform's list of VMs. A VM that was asked for records and is no longer listed counts as stopped.
     void applyVmList(const config::VmList &list);
 
-    /// Kinds LedgerClaim, LedgerComplete, LedgerFetch, LedgerFetchResult, LedgerHandOver and LedgerHandOverResult.
-    /// Throws Error(MessageMalformed, MessageUnknownKind).
+    /// Handles messages of the kinds LedgerClaim, LedgerComplete, LedgerFetch, LedgerFetchResult, LedgerHandOver and
+    /// LedgerHandOverResult. Throws Error(MessageMalformed, MessageUnknownKind).
     void receive(const base::VmId &from, wire::MessageKind kind, std::string_view payload);
 
     std::vector<wire::Outgoing> takeMessages();
 
-    /// Resends, forgets. Call at nextTick() or later.
+    /// Resends messages and removes expired records. To be called at nextTick() or later.
     void tick();
     base::TimePoint nextTick() const;
 
-    /// A planned stop: no more claims are granted, and each record goes to its next home.
+    /// Begins a planned stop: no more claims are answered, and each record is sent to its next home.
     void beginHandOver();
 
-    /// Whether every part was acknowledged. The node stops then, or at the end of its patience.
+    /// Returns whether every part was acknowledged. The node stops then, or when its timeout for the hand-over ends.
     bool handOverDone() const;
 
-    /// For the entry in the same process. Nothing: not decided yet, ask again.
+    /// Answers a claim of the entry in the same process. Nothing means that the claim is undecided and has to be
+    /// repeated.
     std::optional<ClaimAnswer> claim(const LedgerClaim &claim);
 
-    /// Whether the report is noted and no other node can answer a claim that is made from now on by an older record.
-    /// False: send it again.
+    /// Records the report. Returns whether it is recorded and no other node can answer a later claim by an older
+    /// record; if not, the report has to be resent.
     bool complete(const LedgerComplete &report);
 
     const IdempotencyLedger &ledger() const;
 
-    /// Whether every earlier home of the keys of `service` was heard, for /status.
+    /// Returns whether every earlier home of the keys of `service` has answered or has stopped.
     bool hasResolvedEarlierHomes(const base::ServiceId &service) const;
 
 private:
     using VmSet = std::shared_ptr<const std::vector<base::VmId>>;
     using ServiceVm = std::pair<base::ServiceId, base::VmId>;
 
-    /// A VM that may have been home of keys that are ours now. While it may still grant runs, or has records that we
-    /// lack, a key that it could know must not be taken for new.
+    /// A VM that may have been home of keys whose home is this VM now. While it may still grant runs, or has records
+    /// that are missing here, a key that it may have recorded must not be treated as new.
     struct Predecessor
     {
         base::VmId vm;
         base::ServiceId sourceService;
-        /// The VMs before the move: keys that were ours by these too are not concerned. Null: any key is.
+        /// The VMs of the service before the move: keys whose home was this VM among them too are not affected. Null:
+        /// any key is affected.
         VmSet before;
-        bool atStart = false; ///< Asked because this process is new, not because a home moved.
-        bool isSelf = false; ///< The earlier process on this VM.
-        base::TimePoint firstAsked; ///< First.
-        base::TimePoint lastAsked; ///< Last.
-        KeyHash after; ///< Where the next page begins.
-        std::optional<base::TimePoint> lostAt; ///< What it knew before then is gone, and it has stopped.
+        bool atStart = false; ///< It was asked because this process is new, not because a home moved.
+        bool isSelf = false; ///< It is the earlier process on this VM.
+        base::TimePoint firstAsked;
+        base::TimePoint lastAsked;
+        KeyHash after; ///< Key after which the next page begins.
+        std::optional<base::TimePoint> lostAt; ///< Its records before this time are lost, and it has stopped.
     };
-    /// A VM that took records from us, since a later revision made it home.
+    /// A VM that fetched records from this node, as a later revision made it home.
     struct Fetcher
     {
         base::VmId vm;
@@ -79,40 +81,42 @@
     struct ServiceState
     {
         VmSet vms;
-        std::optional<base::TimePoint> memberSince; ///< Since when this VM is one of them.
+        std::optional<base::TimePoint> memberSince; ///< Time since which this VM is one of them.
         std::vector<Predecessor> predecessors;
-        std::set<std::pair<base::VmId, VmSet>> asked; ///< Under this revision, so that nobody is asked twice.
+        std::set<std::pair<base::VmId, VmSet>> asked; ///< VMs asked under this revision, so that none is asked twice.
         std::vector<Fetcher> fetchers;
-        std::map<base::VmId, base::TimePoint> formerHomes; ///< May have been home, and when that was last so.
-        std::map<base::VmId, base::Incarnation>
-            seenIncarnations; ///< Fetched from us; tells a VM's process from its earlier one.
-        VmSet handOverVms; ///< By which our earlier process chose the next homes, when it stopped as planned.
-        std::set<base::VmId> handOverHolders; ///< Next homes that hold all it gave them.
-        bool earlierProcessSeen = false; ///< Somebody heard an earlier process on this VM.
-        bool unseenByLongTimeMember = false; ///< Somebody who must have heard it has not.
-        base::Revision previousRevision = 0; ///< The one before ours.
-        base::Revision minClaimRevision = 0; ///< Entries that are older may send us keys that have moved.
-        base::Revision frozenUntilRevision = 0; ///< Told of this revision: not home before we hold it.
-        base::Duration retention{0}; ///< Longest of its routes.
+        /// VMs that may have been home, with the last time at which this may have been so.
+        std::map<base::VmId, base::TimePoint> formerHomes;
+        /// Process of each VM that fetched from this node, which distinguishes it from an earlier process of the VM.
+        std::map<base::VmId, base::Incarnation> seenIncarnations;
+        VmSet handOverVms; ///< VMs by which this VM's earlier process chose the next homes at its planned stop.
+        std::set<base::VmId> handOverHolders; ///< Next homes that hold all that it handed over to them.
+        bool earlierProcessSeen = false; ///< A VM has received a message of an earlier process on this VM.
+        bool unseenByLongTimeMember = false; ///< A VM that must have received one has not.
+        base::Revision previousRevision = 0; ///< The revision before the present one.
+        base::Revision minClaimRevision = 0; ///< Claims by an older revision may be for keys that have moved.
+        /// Revision of a received fetch; no claims are answered before it is held.
+        base::Revision frozenUntilRevision = 0;
+        base::Duration retention{0}; ///< The longest retention of its routes.
     };
-    /// What another home gave us as it stopped.
+    /// A hand-over from another home that stopped.
     struct IncomingHandOver
     {
         base::Incarnation incarnation = 0;
-        std::set<base::Incarnation> pastIncarnations; ///< Hand-overs before this one, whose late parts count no more.
-        bool isWhole = false; ///< The last part came, and names this process.
+        std::set<base::Incarnation> pastIncarnations; ///< Earlier hand-overs, whose late parts are ignored.
+        bool isWhole = false; ///< The last part has arrived and names this process as the receiver.
         bool isCurrent = true; ///< No other home can have granted runs since.
-        std::vector<base::VmId> vms; ///< By which the stopped home chose its next homes.
-        std::optional<base::TimePoint> lostAt; ///< The stopped home's own gap.
-        std::optional<base::Incarnation> reclaimedBy; ///< By the same VM after its restart.
+        std::vector<base::VmId> vms; ///< VMs by which the stopped home chose its next homes.
+        std::optional<base::TimePoint> lostAt; ///< Time before which the stopped home itself had lost records.
+        std::optional<base::Incarnation> reclaimedBy; ///< The first new process on the same VM, which fetched it.
     };
-    /// What this node gives to one next home of a service as it stops.
+    /// The hand-over of this node to one next home of a service as it stops.
     struct OutgoingHandOver
     {
         std::uint32_t nextPart = 0;
-        bool mayFinish = false; ///< Nothing is missing, so the next home may act once it has all.
+        bool mayFinish = false; ///< No records are missing, so the next home may act once it has all of them.
         bool hasFinished = false; ///< The last part was sent.
-        std::optional<base::Incarnation> receiver; ///< The process that acknowledged so far.
+        std::optional<base::Incarnation> receiver; ///< The process that acknowledged the parts so far.
         std::vector<base::VmId> vms;
         std::optional<base::TimePoint> lostAt;
     };
@@ -122,7 +126,7 @@
         LedgerHandOver part;
         base::TimePoint sent;
     };
-    /// Why a claim can't be granted for want of knowledge. Nothing in `refusal`: wait a little.
+    /// Prevents the grant of a claim because records may be missing. Without a `refusal` the claim waits and is resent.
     struct GrantBlock
     {
         std::optional<ClaimAnswer> refusal;
@@ -198,9 +202,10 @@
     bool m_stopping = false;
     std::unordered_map<base::ServiceId, ServiceState> m_services;
     std::map<ServiceVm, IncomingHandOver> m_incomingHandOvers;
-    std::vector<OutgoingPart> m_parts; ///< Not acknowledged yet.
+    std::vector<OutgoingPart> m_parts; ///< Parts that are not acknowledged yet.
     std::map<ServiceVm, OutgoingHandOver> m_outgoingHandOvers;
-    std::set<std::pair<base::RequestId, std::uint8_t>> m_forwarded; ///< Late reports and their RecordState, as sent.
+    /// Late reports that were sent, with their RecordState.
+    std::set<std::pair<base::RequestId, std::uint8_t>> m_forwarded;
     std::vector<wire::Outgoing> m_messages;
     base::TimePoint m_lastTick;
 };
--- a/src/include/papayastep/routing/placement.h
+++ b/src/include/papayastep/routing/placement.h
@@ -10,28 +10,29 @@
 #include <string>
 #include <vector>
 
-/// On which backend server a request goes.
+/// Chooses the backend server of a request.
 namespace papayastep::routing {
 
-/// What the entry knows about one backend server of a service. Filled by the node from health and load.
+/// The state of one backend server of a service as it is known at the entry. The node fills it from health and load.
 struct Candidate
 {
     base::BackendServerId server;
     base::VmId vm;
     base::ZoneId zone;
-    bool usable = true; ///< Not ejected.
-    bool trial = false; ///< Ejected, and given a trickle to show that it is well again.
-    bool drained = false; ///< Draining or leaving: gets no new work whatever happens.
-    double weight = 1; ///< (0, 1]: slow start; for a trial, the part of an equal share that it gets.
+    bool usable = true; ///< The server is not ejected.
+    bool trial = false; ///< The server is ejected and gets a few requests, which show whether it has recovered.
+    bool drained = false; ///< The server is draining or leaving and gets no new work in any case.
+    double weight = 1; ///< Slow-start weight in (0, 1]; for a trial, the fraction of an equal share that it gets.
     int slotsInUse = 0;
     int slots = 1;
     int queueLength = 0;
-    base::Duration latency{0}; ///< Typical, without queueing. 0: not known.
-    bool pathUsable = true; ///< From here to its VM.
-    double failureRisk = 0; ///< How likely it is in a spell of gray failure.
+    base::Duration latency{0}; ///< Typical latency without queueing. 0: not known.
+    bool pathUsable = true; ///< The network path from this node to its VM works.
+    double failureRisk = 0; ///< Probability that the server is in a gray failure.
     base::Duration loadAge{0}; ///< Age of the load figures.
-    base::Duration idle{0}; ///< How long it has been without a new request; 0: not known.
-    /// Wait and run together, as the node beside it says now; goes before the figures above.
+    base::Duration idle{0}; ///< Time since its last new request; 0: not known.
+    /// Waiting and run time together, as just reported by the node beside the server. It takes precedence over the
+    /// figures above.
     std::optional<base::Duration> quotedTime;
 
     auto operator<=>(const Candidate &) const = default;
@@ -39,45 +40,45 @@
 
 struct PlacementRequest
 {
-    base::ZoneId zone; ///< Of the node that places.
+    base::ZoneId zone; ///< Availability zone of the node that places the request.
     bool idempotent = false;
     std::vector<base::BackendServerId> tried; ///< Servers of earlier attempts, not chosen again.
-    base::Duration remainingTarget{0}; ///< An answer after it is worth less to the caller; 0: not stated.
-    base::Duration remaining{0}; ///< Until the deadline; 0: not stated.
+    base::Duration remainingTarget{0}; ///< Time after which an answer has less value for the caller; 0: not stated.
+    base::Duration remaining{0}; ///< Time until the deadline; 0: not stated.
 
     auto operator<=>(const PlacementRequest &) const = default;
 };
 
 enum class PlacementReason {
     BetterOfTwo,
-    SameZone, ///< The other of two was no better and stands in another zone.
+    SameZone, ///< The other of two servers was no better and is in another zone.
     OnlyOne,
     Trial,
     LeastCost,
-    AllUnhealthy, ///< Nobody is usable, so all that are not drained share the traffic.
-    Random, ///< The baseline policy.
-    NoCandidate, ///< No candidate at all.
+    AllUnhealthy, ///< No server is usable, so all that are not drained share the traffic.
+    Random, ///< The server was chosen by the baseline policy.
+    NoCandidate, ///< No server can be chosen.
 };
 
 std::string_view name(PlacementReason reason);
 
-/// The choice: an index into the candidates that were passed, or none.
+/// The choice of a server: an index into the candidates that were passed, or none.
 struct Placement
 {
     std::optional<std::size_t> candidate;
-    std::optional<std::size_t> other; ///< The one of two that was not taken.
+    std::optional<std::size_t> other; ///< The compared candidate that was not chosen.
     PlacementReason reason = PlacementReason::NoCandidate;
 
     auto operator<=>(const Placement &) const = default;
 };
 
-/// One row of an explanation. A smaller score is better; it is an expected time in milliseconds.
+/// One row of an explanation. The score is an expected time in milliseconds; a smaller one is better.
 struct ScoredCandidate
 {
     Candidate candidate;
     double score = 0;
     bool eligible = false;
-    std::string note; ///< Why it is not eligible, or empty.
+    std::string note; ///< The reason why it is not eligible, or empty.
 };
 
 struct PlacementExplanation
@@ -86,7 +87,7 @@
     std::string sentence;
 };
 
-/// A way to choose. Stateless: all that changes is in the candidates, so one object serves all threads.
+/// A placement policy. It is stateless: all changing state is in the candidates, so that one object serves all threads.
 class PlacementPolicy
 {
 public:
@@ -94,10 +95,10 @@
 
     virtual std::string_view name() const = 0;
 
-    /// What a candidate is expected to cost the request; only differences mean anything.
+    /// Returns the expected cost of sending the request to a candidate; only differences between costs are meaningful.
     virtual double cost(const Candidate &candidate, const PlacementRequest &request) const = 0;
 
-    /// Whether a sibling that a refusal names goes before the policy's own choice.
+    /// Returns whether a sibling that a refusal names takes precedence over the policy's own choice.
     virtual bool followsAdvice() const
     {
         return true;
@@ -108,7 +109,8 @@
                             std::mt19937_64 &random) const = 0;
 };
 
-/// The baseline: any server that is not drained, each as likely, whatever is known of it.
+/// The baseline policy: chooses among all servers that are not drained with equal probability, regardless of their
+/// state.
 class RandomPlacement final : public PlacementPolicy
 {
 public:
@@ -121,20 +123,21 @@
 
 struct TwoChoiceSettings
 {
-    double sameZoneTolerance = 0.1; ///< A server of the same zone is taken while at most this much worse.
-    base::Duration defaultLatency = std::chrono::milliseconds(10); ///< Where none is known.
-    base::Duration staleAfter = std::chrono::seconds(3); ///< Older load figures count as the average ones.
-    /// What a failed answer costs besides the time that it took: for a request that can be repeated, the repeat; for
-    /// any other all that it is worth, which is put at some usual answers' time.
+    /// Fraction by which a server of the same zone may be worse than one of another zone and still be chosen.
+    double sameZoneTolerance = 0.1;
+    base::Duration defaultLatency = std::chrono::milliseconds(10); ///< Used where the latency is not known.
+    base::Duration staleAfter = std::chrono::seconds(3); ///< Age from which load figures count as average ones.
+    /// Cost of a failed answer besides the time that it took. For a request that can be repeated it is the cost of the
+    /// repeat; for any other it is the whole value of the request, expressed as the time of several typical answers.
     base::Duration repeatCost = std::chrono::milliseconds(500);
     base::Duration lossCost = std::chrono::milliseconds(3000);
 };
 
-/// Draws two usable servers, one of them of the own zone where there is one, each as often as its weight says, and
-/// takes the better by score(). Where both are full it draws two more.
+/// Draws two usable servers with probabilities in proportion to their weights, one of them from the own zone if
+/// possible, and chooses the one with the better score(). If both are full it draws two more.
 ///
-/// A server that looks idle because it fails fast or lies about its load gains at most the draws in which it takes
-/// part: twice an equal share, not all traffic (choosing the best of all would give it everything).
+/// A server that looks idle because it fails fast or reports a wrong load gains at most the draws in which it takes
+/// part: twice an equal share, not all traffic. A choice of the best of all servers would send it everything.
 class TwoChoicePlacement final : public PlacementPolicy
 {
 public:
@@ -146,11 +149,11 @@
                     const PlacementRequest &request,
                     std::mt19937_64 &random) const override;
 
-    /// Expected milliseconds for one more request: latency, stretched by slots in use and queue, and what a failure
-    /// would cost.
+    /// Returns the expected time of one more request in milliseconds: the latency, increased by slots in use and queue,
+    /// and the expected cost of a failure.
     double score(const Candidate &candidate, bool idempotent) const;
 
-    /// All candidates with scores, and one sentence about `placement`.
+    /// Returns all candidates with their scores, and one sentence about `placement`.
     PlacementExplanation explain(std::span<const Candidate> candidates,
                                  const PlacementRequest &request,
                                  const Placement &placement) const;
@@ -166,21 +169,21 @@
 
 struct HandOverSettings
 {
-    double factor = 2; ///< How many times shorter the sibling's expected time must be.
-    base::Duration hopCost = std::chrono::milliseconds(3); ///< Added to the sibling's side.
-    base::Duration staleAfter = std::chrono::seconds(2); ///< Older figures of a sibling don't count.
+    double factor = 2; ///< Factor by which the sibling's expected time must be shorter.
+    base::Duration hopCost = std::chrono::milliseconds(3); ///< Time of the hop, added to the sibling's expected time.
+    base::Duration staleAfter = std::chrono::seconds(2); ///< Age from which a sibling's figures are not used.
 };
 
 struct HandOverRequest
 {
-    bool handedOverBefore = false; ///< A request is handed over once, so it can't wander.
-    int queuedBefore = 0; ///< Requests ahead of it in the own queue.
-    base::Duration remaining{0}; ///< Until its deadline.
+    bool handedOverBefore = false; ///< A request is handed over at most once, so that it does not go from node to node.
+    int queuedBefore = 0; ///< Number of requests ahead of it in the own queue.
+    base::Duration remaining{0}; ///< Time until its deadline.
     std::vector<base::BackendServerId> tried;
 };
 
-/// Whether a serving node hands a queued request over to a sibling, and to which (an index into `siblings`).
-/// Only to one that is usable, fresh, has a free slot, and would be clearly sooner done.
+/// Returns the sibling (an index into `siblings`) to which a serving node hands a queued request over, or nothing. The
+/// sibling must be usable, have fresh load figures and a free slot, and have a clearly shorter expected time.
 std::optional<std::size_t> chooseHandOverTarget(const Candidate &own,
                                                 std::span<const Candidate> siblings,
                                                 const HandOverRequest &request,
--- a/src/include/papayastep/routing/processtable.h
+++ b/src/include/papayastep/routing/processtable.h
@@ -8,20 +8,21 @@
 
 namespace papayastep::routing {
 
-/// Since when the present process on each VM is known.
+/// Records when the present process on each VM was first seen.
 ///
-/// A serving node that crashes forgets which attempts it has started, and its next process would answer a cancel with
-/// "never started". The action would then run a second time elsewhere. Only a process that was heard before the attempt
-/// was sent can know what became of it.
+/// A serving node that crashes loses its record of started attempts, and its next process would answer a cancel with
+/// "never started". The action would then run a second time elsewhere. Only a process from which a message arrived
+/// before the attempt was sent can report what became of the attempt.
 class ProcessTable
 {
 public:
     explicit ProcessTable(const base::Clock &clock);
 
-    /// A message of this process came.
+    /// Records that a message of this process has arrived.
     void recordMessage(const base::VmId &vm, base::Incarnation incarnation);
 
-    /// What `answer` of this process proves about an attempt that was sent at `sentAt`.
+    /// Returns `answer` of this process about an attempt that was sent at `sentAt`, or Unconfirmed if the answer is
+    /// NeverStarted and this process may not have received the attempt.
     CancelAnswer verifiedAnswer(const base::VmId &vm,
                                 base::Incarnation incarnation,
                                 CancelAnswer answer,
--- a/src/include/papayastep/routing/requestmachine.h
+++ b/src/include/papayastep/routing/requestmachine.h
@@ -2,19 +2,19 @@
 
 #include "papayastep/base/statechart.h"
 
-/// The life of a request at its entry, as src/routing/request.json draws it.
+/// The states of a request at its entry, as defined by the state chart src/routing/request.json.
 namespace papayastep::routing {
 
 enum class RequestState {
     Received,
-    Admitted, ///< Has a token and waits for a place.
-    Claiming, ///< Asks the home of its idempotency key.
-    Placed, ///< An attempt is on its way.
+    Admitted, ///< The request has a token and waits for placement.
+    Claiming, ///< The entry claims the idempotency key at its home.
+    Placed, ///< An attempt was sent and is not acknowledged yet.
     Acknowledged, ///< A serving node has the attempt.
-    Cancelling, ///< Asked the serving node whether the attempt can still be stopped.
+    Cancelling, ///< The entry has sent a cancel to the serving node and waits for its answer.
     Answered,
-    Refused, ///< Told the caller not-run.
-    Unknown, ///< Told the caller that the outcome is unknown.
+    Refused, ///< The caller received the outcome not-run.
+    Unknown, ///< The caller was told that the outcome is unknown.
 };
 
 enum class RequestEvent {
@@ -23,18 +23,18 @@
     ClaimGranted,
     Place,
     Acknowledge,
-    Retry, ///< The attempt is given up and another may follow.
+    Retry, ///< The attempt is abandoned and another may follow.
     Cancel,
-    CancelFailed, ///< It has started: wait for its answer.
+    CancelFailed, ///< The attempt has started, so its answer is awaited.
     Answer,
     Refuse,
-    LoseTrack, ///< The caller is told `unknown`.
+    LoseTrack, ///< The caller is told that the outcome is unknown.
 };
 
-/// Reads and checks the embedded chart. Throws Error(StateChartInvalid): call it at program start.
+/// Reads and checks the embedded chart. To be called at program start. Throws Error(StateChartInvalid).
 std::shared_ptr<const base::StateChart> requestChart();
 
-/// One request's state.
+/// The state machine of one request.
 class RequestMachine : public base::StateMachine<RequestState, RequestEvent>
 {
 public:
--- a/src/include/papayastep/routing/retrybudget.h
+++ b/src/include/papayastep/routing/retrybudget.h
@@ -11,70 +11,72 @@
 
 struct RetryBudgetSettings
 {
-    double share = 0.2; ///< Retries per first attempt, in the long run.
-    base::Duration window = std::chrono::seconds(10); ///< Traffic older than this hardly counts.
-    double reservePerSecond = 1; ///< Retries allowed without traffic, so that a rare service can retry at all.
-    double maxReserve = 5; ///< How many of those may gather.
+    double share = 0.2; ///< Retries allowed per first attempt, on average.
+    base::Duration window = std::chrono::seconds(10); ///< Time constant with which earned retries decay.
+    double reservePerSecond = 1; ///< Retries earned without traffic, so that a service with little traffic can retry.
+    double maxReserve = 5; ///< Largest number of retries accumulated without traffic.
 
-    /// How far an account may go below zero. A node that sees a few requests a second earns a whole retry only every
-    /// few seconds, and would mostly have a part of one when it needs it.
+    /// Number of retries by which an account may be overdrawn. A node that receives a few requests a second earns a
+    /// whole retry only every few seconds, and would mostly have a fraction of one when it needs it.
     double maxDebt = 0;
 
-    /// How much faster one workspace may spend than it earns, out of what the others leave. Small fleets see so few
-    /// requests of one workspace at one entry that its own part would never make a whole retry.
+    /// Factor by which one workspace may spend more than its share, out of what the others leave. In small fleets an
+    /// entry receives so few requests of one workspace that its own share would never amount to a whole retry.
     double workspaceFactor = 4;
 };
 
-/// What operators allow a service in any span of `window`, over all nodes together.
+/// The limit that operators set for the retries of a service in any span of `window`, over all nodes together.
 struct FleetRetryLimit
 {
-    double ratio = 0.2; ///< Of the requests of the service.
-    double slack = 0; ///< Retries besides.
+    double ratio = 0.2; ///< Allowed retries per request of the service.
+    double slack = 0; ///< Number of retries allowed in addition.
     base::Duration window = std::chrono::seconds(10);
 
     auto operator<=>(const FleetRetryLimit &) const = default;
 };
 
-/// One node's part of `limit` in a fleet of `nodes`. What has gathered can be spent at once, on top of what is earned
-/// during the window; so each part is cut until the worst case adds up to the limit: with a memory of half a window,
-/// 0.65 of the ratio over one and a half windows, and 0.3 of the slack twice. The debt takes what is left of the slack.
+/// Returns one node's part of `limit` in a fleet of `nodes`. Accumulated retries can be spent at once, in addition to
+/// those earned during the window. Each part is therefore reduced until the worst case adds up to the limit: with a
+/// decay time of half a window, 0.65 of the ratio counts over one and a half windows, and 0.3 of the slack counts
+/// twice. The debt uses the rest of the slack.
 RetryBudgetSettings nodeRetryBudget(const FleetRetryLimit &limit, std::size_t nodes);
 
-/// Retries asked for since the start.
+/// Counts of requested retries since the start.
 struct RetryBudgetCounters
 {
     std::uint64_t spent = 0;
-    std::uint64_t refusedByService = 0; ///< The budget of the service was spent.
-    std::uint64_t refusedByWorkspace = 0; ///< Only that of the workspace was.
+    std::uint64_t refusedByService = 0; ///< Retries refused because the budget of the service was spent.
+    std::uint64_t refusedByWorkspace = 0; ///< Retries refused because only the budget of the workspace was spent.
 
     auto operator<=>(const RetryBudgetCounters &) const = default;
 };
 
-/// Bounds retries to a share of recent first attempts, per service and per workspace.
+/// Limits retries to a share of recent first attempts, per service and per workspace.
 ///
-/// Without it a sick service is hit with several times its traffic just when it can least bear it, and one
-/// workspace's failing requests use up the retries of all.
+/// Without it a failing service would receive several times its traffic when it is least able to serve it, and one
+/// workspace's failing requests would use up the retries of all.
 class RetryBudget
 {
 public:
     explicit RetryBudget(const base::Clock &clock, RetryBudgetSettings settings = {});
 
-    /// For spending from now on; what has gathered stays.
+    /// Sets the settings for later retries; accumulated retries stay.
     void setSettings(const RetryBudgetSettings &settings);
 
     /// Counts a first attempt.
     void countRequest(const base::ServiceId &service, const base::WorkspaceId &workspace);
 
-    /// Takes one retry from both budgets, or from none.
+    /// Takes one retry from both budgets, or from neither; returns whether it was taken.
     bool spend(const base::ServiceId &service, const base::WorkspaceId &workspace);
 
-    /// Drops budgets without recent use; they would come back as they are. Call every few seconds.
+    /// Removes budgets without recent use, which would be created again with the same state. To be called every few
+    /// seconds.
     void tick();
 
     std::size_t size() const;
     const RetryBudgetCounters &counters() const;
 
-    /// Retries that each service seen lately could spend now; below zero: in debt.
+    /// Returns the retries that each service with recent requests could spend now. A negative number is a debt.
     std::map<base::ServiceId, double> availableRetries();
 
 private:
--- a/src/include/papayastep/routing/retrypolicy.h
+++ b/src/include/papayastep/routing/retrypolicy.h
@@ -7,26 +7,26 @@
 
 #include <string_view>
 
-/// What happens after each attempt of a request.
+/// Decides what follows each attempt of a request.
 namespace papayastep::routing {
 
-/// How an attempt ended, or what was heard of it.
+/// The end of an attempt, or an event during it.
 enum class AttemptEvent {
-    ConnectionRefused, ///< No connection to the serving node; not a byte of the request was written.
-    NotAcknowledged, ///< Sent, and no word from the serving node within AttemptTimeouts::acknowledge.
-    AcknowledgedThenSilent, ///< The serving node has it, and no answer came within AttemptTimeouts::answer.
-    RefusedNotRun, ///< The serving node says it did not and will not start it (with code and perhaps a wait).
-    ShedByServer, ///< The backend server itself answered 503 or 429, whole.
-    ServerError, ///< Another 5xx answer, whole.
-    Partial, ///< The answer broke off, and none of it went to the caller.
-    PartialForwarded, ///< The answer broke off after a part of it went to the caller.
-    Complete, ///< Any other whole answer.
+    ConnectionRefused, ///< The connection to the serving node failed before a byte of the request was written.
+    NotAcknowledged, ///< The serving node did not respond within AttemptTimeouts::acknowledge.
+    AcknowledgedThenSilent, ///< The serving node acknowledged, but no answer came within AttemptTimeouts::answer.
+    RefusedNotRun, ///< The serving node has not started it and never will (with a code and possibly a wait).
+    ShedByServer, ///< The backend server itself sent a complete answer of status 503 or 429.
+    ServerError, ///< The backend server sent a complete answer of another 5xx status.
+    Partial, ///< The answer was cut off, and no part of it was sent to the caller.
+    PartialForwarded, ///< The answer was cut off after a part of it was sent to the caller.
+    Complete, ///< The backend server sent any other complete answer.
     DeadlinePassed, ///< The request's deadline passed while the attempt was open.
-    CancelNeverStarted, ///< Cancel answered: never started, never will.
-    CancelStarted, ///< Cancel answered: too late, it is running.
-    CancelDone, ///< Cancel answered: it has run to its end.
-    CancelUnanswered, ///< No answer to the cancel within AttemptTimeouts::cancel.
-    CallerGone, ///< The caller closed its connection; nobody waits for an answer.
+    CancelNeverStarted, ///< By the answer to the cancel, the attempt has not started and never will.
+    CancelStarted, ///< By the answer to the cancel, the attempt is running.
+    CancelDone, ///< By the answer to the cancel, the attempt has finished.
+    CancelUnanswered, ///< The cancel was not answered within AttemptTimeouts::cancel.
+    CallerGone, ///< The caller closed its connection, so no answer is needed.
 };
 
 std::string_view name(AttemptEvent event);
@@ -34,19 +34,19 @@
 struct AttemptResult
 {
     AttemptEvent event = AttemptEvent::Complete;
-    base::ResultCode code = base::ResultCode::Ok; ///< For RefusedNotRun.
-    base::Duration retryAfter{0}; ///< As the other side asked.
+    base::ResultCode code = base::ResultCode::Ok; ///< Reason of a RefusedNotRun.
+    base::Duration retryAfter{0}; ///< Wait that the other side requested.
 
     auto operator<=>(const AttemptResult &) const = default;
 };
 
 enum class RetryAction {
-    AnswerCaller, ///< Pass on the backend server's own answer.
-    RetryElsewhere, ///< Another attempt on a server not tried yet (pays a token).
-    CancelFirst, ///< Ask the serving node to cancel, and report what it says.
-    Wait, ///< Keep waiting for this attempt until the deadline.
-    Refuse, ///< Give the caller `refusal` at once.
-    BreakOff, ///< End the caller's answer as a broken message.
+    AnswerCaller, ///< Forward the backend server's own answer.
+    RetryElsewhere, ///< Make another attempt on a server not tried yet, which costs a token.
+    CancelFirst, ///< Send a cancel to the serving node, and pass its answer to decide().
+    Wait, ///< Continue to wait for this attempt until the deadline.
+    Refuse, ///< Send `refusal` to the caller at once.
+    BreakOff, ///< End the caller's answer as an incomplete message.
 };
 
 std::string_view name(RetryAction action);
@@ -54,14 +54,14 @@
 struct RetryDecision
 {
     RetryAction action = RetryAction::Refuse;
-    bool cancelPrevious = false; ///< With RetryElsewhere: tell the earlier serving node, without waiting.
-    Refusal refusal; ///< With Refuse.
+    bool cancelPrevious = false; ///< Send a cancel to the earlier serving node, without waiting for its answer.
+    Refusal refusal; ///< Set if the action is Refuse.
     std::string_view reason; ///< One short sentence for the log.
 
     auto operator<=>(const RetryDecision &) const = default;
 };
 
-/// What is known of one request over all its attempts. Kept by the node, changed by RetryPolicy.
+/// The progress of one request over all its attempts. It is kept by the node and changed by RetryPolicy.
 struct RequestProgress
 {
     base::ServiceId service;
@@ -69,10 +69,10 @@
     bool idempotent = false;
     bool hasIdempotencyKey = false;
     base::TimePoint deadline;
-    int maxAttempts = 3; ///< As the route says.
-    int nodeAttempts = 0; ///< Serving nodes asked so far; the number names the attempt.
-    int serverAttempts = 0; ///< Of these, the ones that reached or may have reached a backend server.
-    /// Some attempt may have had an effect, so that no later refusal may say not-run.
+    int maxAttempts = 3; ///< Limit for serverAttempts, from the route.
+    int nodeAttempts = 0; ///< Attempts sent to serving nodes so far; also the number of the present attempt.
+    int serverAttempts = 0; ///< Those of nodeAttempts that reached or may have reached a backend server.
+    /// An attempt may have had an effect, so that no later refusal may report not-run.
     bool mayHaveRun = false;
 
     auto operator<=>(const RequestProgress &) const = default;
@@ -80,19 +80,21 @@
 
 struct RetrySettings
 {
-    /// Nodes asked for one request, most of which refuse before their backend server gets it. Each costs a round trip;
-    /// of six drawn servers one takes the request unless nearly all are full or ejected.
+    /// Limit for the attempts of one request sent to serving nodes. Most are refused before they reach a backend
+    /// server, and each costs a round trip. Of six drawn servers, one takes the request unless nearly all are full or
+    /// ejected.
     int maxNodeAttempts = 6;
-    base::Duration acknowledge = std::chrono::milliseconds(150); ///< A node acknowledges before it queues.
-    /// Of the service's typical latency, after which an acknowledged attempt counts as silent. 0: never, where the node
-    /// beside the server sees a hang itself. A request that simply takes long is only run once more by giving up on it.
+    base::Duration acknowledge = std::chrono::milliseconds(150); ///< Timeout; a node acknowledges before it queues.
+    /// Multiple of the service's typical latency after which an acknowledged attempt counts as silent. 0: never, where
+    /// the node beside the server detects a hang itself. To give up on a request that only takes long would run it once
+    /// more.
     double answerTimeoutFactor = 4;
     base::Duration minAnswerTimeout = std::chrono::milliseconds(50);
-    base::Duration cancel = std::chrono::milliseconds(500); ///< The node resends the cancel within it.
+    base::Duration cancel = std::chrono::milliseconds(500); ///< Timeout within which the node resends the cancel.
     base::Duration defaultRetryAfter = std::chrono::seconds(1);
 };
 
-/// How long to wait in each phase of the present attempt, counted from its start (cancel: from the cancel).
+/// The timeouts of the phases of the present attempt, counted from its start; that of the cancel from the cancel.
 struct AttemptTimeouts
 {
     base::Duration acknowledge{0};
@@ -102,24 +104,28 @@
     auto operator<=>(const AttemptTimeouts &) const = default;
 };
 
-/// Idempotent requests are retried on another server within the budget. All others only on proof that no attempt
-/// ran: a connection refused before a byte was written, a refusal by the serving node, or a cancel answered
-/// `never started`.
+/// Decides after each event of an attempt whether to answer, wait, cancel, retry or refuse.
+///
+/// Idempotent requests are retried on another server within the budget. All others are retried only on proof that no
+/// attempt ran: a connection refused before a byte was written, a refusal by the serving node, or a cancel answered
+/// with `never started`.
 class RetryPolicy
 {
 public:
     RetryPolicy(const base::Clock &clock, RetryBudget &budget, RetrySettings settings = {});
 
-    /// Call as each attempt goes out; counts the first for the budget.
+    /// Counts an attempt; to be called as each attempt is sent. The first is counted for the budget.
     void beginAttempt(RequestProgress &progress);
 
     RetryDecision decide(RequestProgress &progress, const AttemptResult &result);
 
-    /// After a RetryElsewhere that can't be done (no server left, or no token): the refusal, true over all attempts.
+    /// Returns the refusal after a RetryElsewhere that can't be carried out (no server left, or no token). Its outcome
+    /// covers all attempts.
     Refusal refusalFor(const RequestProgress &progress, base::ResultCode code, base::Duration retryAfter) const;
 
-    /// `typicalLatency` of the service, queueing included; 0 where not known: then the last attempt's rule holds,
-    /// to wait until the deadline. A request with attempts left gives a silent server only a part of its time.
+    /// Returns the timeouts of the present attempt. `typicalLatency` of the service includes queueing; if it is not
+    /// known (0), the rule of the last attempt applies, which waits until the deadline. A request with attempts left
+    /// waits for a silent server only a part of its time.
     AttemptTimeouts timeouts(const RequestProgress &progress, base::Duration typicalLatency) const;
 
 private:
@@ -132,7 +138,7 @@
                          std::string_view reason) const;
     bool mayTryAgain(const RequestProgress &progress) const;
     std::string_view whyNoRetry(const RequestProgress &progress) const;
-    /// Whether another attempt may follow that a backend server gets beyond the first; takes it from the budget.
+    /// Takes a retry that reaches a backend server from the budget; returns whether it may follow.
     bool takeRetry(const RequestProgress &progress);
 
     const base::Clock &m_clock;
--- a/src/routing/attemptregistry.cpp
+++ b/src/routing/attemptregistry.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr base::Duration guard = std::chrono::seconds(1);
-constexpr std::int64_t guardDivisor = 100; ///< One part in a hundred more: far above any clock's drift.
-constexpr base::Duration longestMemory = std::chrono::hours(1); ///< Against an absurd `remaining`.
+constexpr std::int64_t guardDivisor = 100; ///< Adds one part in a hundred, far more than any clock drifts.
+constexpr base::Duration longestMemory = std::chrono::hours(1); ///< Limit in case of an absurd `remaining`.
 
 }
 
@@ -124,7 +124,7 @@
         if (m_entries.size() >= m_settings.capacity) {
             return CancelAnswer::Unconfirmed;
         }
-        // The delay of the cancel is not taken off here: to remember longer does no harm.
+        // The delay of the cancel is not subtracted here: to keep the record for longer does no harm.
         const base::Duration bounded = std::clamp(remaining, base::Duration::zero(), longestMemory);
         remember(id, State::NeverStarts, m_clock.now() + bounded);
         return CancelAnswer::NeverStarted;
--- a/src/routing/idempotencyhome.cpp
+++ b/src/routing/idempotencyhome.cpp
@@ -87,7 +87,7 @@
 void Digest128::assign(std::string_view raw)
 {
     if (raw.size() != bytes.size()) {
-        throw base::Error(base::ResultCode::MessageMalformed, "a digest has 16 bytes");
+        throw base::Error(base::ResultCode::MessageMalformed, "a digest must have 16 bytes");
     }
     std::memcpy(bytes.data(), raw.data(), raw.size());
 }
--- a/src/routing/idempotencyledger.cpp
+++ b/src/routing/idempotencyledger.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Of a node of the map, besides its value.
+/// Bytes of a node of the map in addition to its value.
 constexpr std::size_t nodeOverhead = 48;
-/// Records looked at in one tick: bounds the time of a tick, and a full ledger is swept within a minute.
+/// Number of records examined in one tick. It limits the time of a tick, and a full ledger is swept within a minute.
 constexpr std::size_t sweptAtOnce = 2000;
 
 std::int64_t nanoseconds(base::Duration duration)
@@ -16,15 +16,15 @@
     return duration.count();
 }
 
-/// A duration from a message. Without a bound a faulty node could make the sum with the present time overflow, and a
-/// record would seem to be over at once.
+/// Clamps a duration from a message. Without the limit a faulty node could make its sum with the present time overflow,
+/// and a record would appear expired at once.
 base::Duration bounded(std::int64_t nanoseconds)
 {
     constexpr base::Duration longest = std::chrono::hours(24 * 366);
     return std::clamp(base::Duration(nanoseconds), -longest, longest);
 }
 
-/// How much a record tells about whether its key has run.
+/// Ranks record states by how much information they hold on whether the key has run.
 int rankOf(RecordState state)
 {
     switch (state) {
@@ -50,7 +50,7 @@
 RecordState checkedState(std::uint8_t state)
 {
     if (state > static_cast<std::uint8_t>(RecordState::Released)) {
-        throw base::Error(base::ResultCode::MessageMalformed, "a ledger record has an unknown state");
+        throw base::Error(base::ResultCode::MessageMalformed, "the state of a ledger record is unknown");
     }
     return static_cast<RecordState>(state);
 }
@@ -120,7 +120,7 @@
     const RecordState state = stateOf(record);
     const bool sameRequest = record.request == claim.request;
     if (state == RecordState::Released) {
-        // The entry gave this claim up: a copy of it that comes late must not take the key.
+        // The entry abandoned this claim, so a late copy of it must not take the key.
         return sameRequest
             ? std::optional(refused(Outcome::NotRun, base::ResultCode::HopCancelled, RetryClass::WithSameKey))
             : std::nullopt;
@@ -154,7 +154,7 @@
 {
     const auto known = m_records.find(claim.key);
     if (known != m_records.end()) {
-        // Over or released, as lookUp() said nothing.
+        // The record is expired or released, since lookUp() returned nothing.
         erase(known);
     }
     const std::size_t needed = sizeof(RecordMap::value_type) + nodeOverhead;
@@ -238,7 +238,7 @@
     }
     Record &record = known->second;
     if (record.request != report.request && record.state == RecordState::Released) {
-        // That request was given up and says nothing of this one, which another home granted.
+        // The recorded request was abandoned, and its record holds nothing on this one, which another home granted.
         return merge(report);
     }
     if (record.request != report.request || record.state == RecordState::Answered) {
@@ -248,7 +248,7 @@
         return true;
     }
     if (state == RecordState::Released) {
-        // `until` stays: a late copy of the claim is refused until the request's deadline.
+        // `until` is kept, so that a late copy of the claim is refused until the request's deadline.
         record.state = RecordState::Released;
         return true;
     }
--- a/src/routing/ledgerclient.cpp
+++ b/src/routing/ledgerclient.cpp
@@ -12,7 +12,7 @@
 Enum checked(std::uint8_t value, Enum greatest)
 {
     if (value > static_cast<std::uint8_t>(greatest)) {
-        throw base::Error(base::ResultCode::MessageMalformed, "a ledger verdict has an unknown value");
+        throw base::Error(base::ResultCode::MessageMalformed, "the answer to a ledger claim has an unknown value");
     }
     return static_cast<Enum>(value);
 }
@@ -124,7 +124,8 @@
     }
 }
 
-/// Asks the home, and after a while the next home too: it answers only if the home has handed its records over.
+/// Sends the claim to the home, and after askNextAfter to the next home too. The next home answers only if the home has
+/// handed its records over.
 void LedgerClient::sendClaim(Entry &entry)
 {
     const auto now = m_clock.now();
@@ -145,7 +146,7 @@
     }
 }
 
-/// Passes the verdict on. Entries that need no report are removed by the next tick.
+/// Adds the decision on a verdict. Entries that need no report are removed by the next tick.
 void LedgerClient::decide(Entry &entry, const ClaimAnswer &answer)
 {
     const bool isLate = m_clock.now() >= entry.deadline;
@@ -249,7 +250,7 @@
         }
         return;
     }
-    throw base::Error(base::ResultCode::MessageUnknownKind, "not a message for the entry of a ledger");
+    throw base::Error(base::ResultCode::MessageUnknownKind, "the message kind is not for the entry side of a ledger");
 }
 
 void LedgerClient::tick()
@@ -271,7 +272,8 @@
     std::erase_if(m_entries, [&](const auto &entry) { return isRemovable(entry.second); });
 }
 
-/// The home's verdict may still come; decide() is not called for it any more, so the request never runs.
+/// Abandons a claim and refuses its request. The home's verdict may still arrive, but decide() is no longer called for
+/// it, so the request never runs.
 void LedgerClient::giveUp(Entry &entry)
 {
     const bool isLate = m_clock.now() >= entry.deadline;
@@ -287,7 +289,8 @@
     case Phase::Claiming:
         return false;
     case Phase::Running:
-        // Never reported, which is a fault of the node; the home has counted it as unknown for long.
+        // The end of the run was never reported, which is a fault of the node. By now the home has long recorded the
+        // outcome as unknown.
         return now - entry.deadline >= m_settings.completeTimeout;
     case Phase::Reporting:
         return now - entry.began >= m_settings.completeTimeout;
--- a/src/routing/ledgerhome.cpp
+++ b/src/routing/ledgerhome.cpp
@@ -9,18 +9,20 @@
 namespace {
 
 constexpr auto logPrefix = "routing";
-/// A VM that the platform does not list may be too new for the lagging list; after this time it counts as gone.
+/// Time after which a VM that the platform does not list counts as gone. Before it, the VM may be too new for the
+/// lagging list.
 constexpr base::Duration listGrace = std::chrono::seconds(10);
-/// The nodes of a first installation start within this time of each other. A sibling that has run for longer shows
-/// that LedgerSettings::noEarlierRuns was left set by mistake.
+/// Time within which all nodes of a first installation start. A sibling that has run for longer shows that
+/// LedgerSettings::noEarlierRuns was left set by mistake.
 constexpr base::Duration firstStartWindow = std::chrono::seconds(30);
 constexpr base::Duration tickEvery = std::chrono::seconds(1);
-/// An earlier home that stays silent is asked more rarely, so that a dead VM costs next to nothing.
+/// Resend intervals for an earlier home that stays silent: it is asked less often, so that the cost of a dead VM is
+/// negligible.
 constexpr base::Duration slowResend = std::chrono::seconds(1);
 constexpr base::Duration slowestResend = std::chrono::seconds(10);
 constexpr base::Duration slowestAfter = std::chrono::minutes(1);
-/// How long it is remembered who fetched and what was lost, even where no route asks for a longer retention.
-constexpr base::Duration leastMemory = std::chrono::hours(1);
+/// Retention of the data on fetches and lost records for a service of which no route states a retention.
+constexpr base::Duration defaultRetention = std::chrono::hours(1);
 constexpr base::Duration retryWhileFetching = std::chrono::seconds(1);
 
 ClaimAnswer refuseNotRun(base::ResultCode code, RetryClass retryClass, base::Duration retryAfter)
@@ -128,7 +130,7 @@
     }
     const base::Revision revision = m_configuration->revision();
     const ServiceState &state = found->second;
-    // Either side may hold the older configuration. Nothing is decided until both name the same home.
+    // Either side may hold the older configuration. No claim is decided until both determine the same home.
     if (claim.revision > revision || state.frozenUntilRevision > revision || claim.revision < state.minClaimRevision) {
         return std::nullopt;
     }
@@ -141,7 +143,7 @@
     if (auto known = m_ledger.lookUp(claim)) {
         return known;
     }
-    // A key from the future would look new to a home that forgot it: never let one run (see grantBlockAfterLoss()).
+    // A key from the future would look new to a home that lost its record, so none may run (see grantBlockAfterLoss()).
     const auto wallNow = m_clock.wallNow().time_since_epoch();
     if (base::Duration(claim.keyTime) > wallNow + m_settings.maxKeyAhead) {
         return refuseNotRun(base::ResultCode::IdempotencyKeyInvalid, RetryClass::WithNewKey, {});
@@ -163,11 +165,13 @@
     if (predecessor.before && homeOf(key, *predecessor.before) == m_self) {
         return false;
     }
-    // What our earlier process knew came back, and it was home of this key: it covers what others lost before.
+    // The records of this VM's earlier process are back, and it was home of this key. They cover what others lost
+    // before.
     return !(predecessor.lostAt && predecessor.atStart && isCoveredByHandOver(state, key));
 }
 
-/// The whole hand-over of the home that `key` had before the move, if it chose this node as the next one.
+/// Returns the whole hand-over of the home that `key` had before the move, if that home chose this node as the next
+/// one.
 const LedgerHome::IncomingHandOver *LedgerHome::completedHandOver(const Predecessor &predecessor,
                                                                   const KeyHash &key) const
 {
@@ -211,9 +215,10 @@
     return std::nullopt;
 }
 
-/// What was known before `lost` is gone. A key may be new all the same when the retention has passed since, or when
-/// it carries a time after `lost`: earlier homes ran no key from further in the future than maxKeyAhead, and their
-/// calendar clocks differ from ours by at most clockSkew.
+/// Returns the block of a claim whose record may have been lost, as records from before `lost` are missing. The key is
+/// certainly new if the retention has passed since, or if the key contains a time after `lost`: earlier homes ran no
+/// key from further in the future than maxKeyAhead, and their calendar clocks differ from this node's by at most
+/// clockSkew.
 std::optional<LedgerHome::GrantBlock> LedgerHome::grantBlockAfterLoss(base::TimePoint lost,
                                                                       const ServiceState &state,
                                                                       const LedgerClaim &claim) const
@@ -246,26 +251,28 @@
         return false;
     }
     const bool nextHasIt = !m_stopping || forwardRecord(state, record.key);
-    // While frozen, or after a fetch, the new home must hear it too: no acknowledgement, so the entry asks on.
+    // While frozen, or after a fetch, the new home needs the report too. Without an acknowledgement the entry resends
+    // it.
     if (!nextHasIt || state.frozenUntilRevision > m_configuration->revision()) {
         return false;
     }
-    // An earlier home that was not heard yet may still answer by the record before. A stopping node answers no claims,
-    // and must not be held up by a home that is silent.
+    // An earlier home that has not answered yet may still answer claims by its older record. A stopping node answers no
+    // claims, and must not be delayed by a silent home.
     return m_stopping || std::none_of(state.predecessors.begin(), state.predecessors.end(), [&](const auto &p) {
                return isOpen(p, state, record.key);
            });
 }
 
-/// Whether `predecessor` may still answer claims for `key`, as it was not heard and has not stopped.
+/// Returns whether `predecessor` may still answer claims for `key`, as it has neither answered nor stopped.
 bool LedgerHome::isOpen(const Predecessor &predecessor, const ServiceState &state, const KeyHash &key) const
 {
     return !predecessor.lostAt && isHome(state, key) && concernsKey(predecessor, state, key)
         && completedHandOver(predecessor, key) == nullptr;
 }
 
-/// Sends a record that changed after the hand-over began to the next home, and says whether that has it. The next home
-/// may act already, and would tell a repeat that a run has not ended whose caller has its answer.
+/// Sends a record that changed after the hand-over began to the next home, and returns whether the next home has
+/// acknowledged it. The next home may act already, and would answer a repeat that the run has not ended although the
+/// caller has its answer.
 bool LedgerHome::forwardRecord(const ServiceState &state, const KeyHash &key)
 {
     const auto current = m_ledger.record(key);
@@ -305,7 +312,8 @@
     case wire::MessageKind::LedgerHandOverResult:
         return receiveHandOverResult(from, wire::decode<LedgerHandOverResult>(payload));
     default:
-        throw base::Error(base::ResultCode::MessageUnknownKind, "not a message for the home of a ledger");
+        throw base::Error(base::ResultCode::MessageUnknownKind,
+                          "the message kind is not for the home side of a ledger");
     }
 }
 
@@ -348,7 +356,7 @@
 
 base::Duration LedgerHome::retentionOf(const ServiceState &state) const
 {
-    return state.retention > base::Duration::zero() ? state.retention : leastMemory;
+    return state.retention > base::Duration::zero() ? state.retention : defaultRetention;
 }
 
 base::Duration LedgerHome::age() const
@@ -372,7 +380,8 @@
 
 void LedgerHome::handOverService(const base::ServiceId &service, const ServiceState &state)
 {
-    // With a gap that is still open, nobody may act for this home as if it knew everything.
+    // While an earlier home has neither answered nor stopped, no next home may act for this home, as records may be
+    // missing.
     const bool isWhole = std::all_of(
         state.predecessors.begin(), state.predecessors.end(), [](const auto &p) { return p.lostAt.has_value(); });
     for (const auto &vm : *state.vms) {
@@ -412,7 +421,7 @@
     m_parts.push_back(OutgoingPart{to, std::move(part), m_clock.now()});
 }
 
-/// All parts so far were acknowledged: sends the last one, which lets the next home act.
+/// Sends the last part after all others were acknowledged, which permits the next home to act.
 void LedgerHome::finishHandOver(const base::ServiceId &service, const base::VmId &to)
 {
     OutgoingHandOver &outgoing = m_outgoingHandOvers[{service, to}];
@@ -449,14 +458,14 @@
     }
     for (const LedgerRecord &record : part.records) {
         if (!m_ledger.merge(record)) {
-            return; // No room: no acknowledgement, so the other side doesn't think that we have it.
+            return; // There is no room. Without an acknowledgement the sender does not count the part as received.
         }
     }
     if (part.last && part.receiver == m_incarnation) {
         handOver.isWhole = true;
         handOver.vms = part.vms;
         handOver.lostAt = timeOf(part.lostAgo);
-        PAPAYASTEP_LOG(INFO, logPrefix) << "An idempotency home handed its records over."
+        PAPAYASTEP_LOG(INFO, logPrefix) << "An idempotency home handed over its records."
                                         << base::field("service", part.service) << base::field("from", from);
     }
     const LedgerHandOverResult result{part.service, part.incarnation, part.part, m_incarnation};
@@ -477,7 +486,7 @@
     }
     OutgoingHandOver &outgoing = m_outgoingHandOvers[{result.service, from}];
     if (outgoing.receiver.value_or(result.receiver) != result.receiver) {
-        outgoing.mayFinish = false; // The next home restarted in between: neither of its processes has everything.
+        outgoing.mayFinish = false; // The next home has restarted, and neither of its processes has all records.
     }
     outgoing.receiver = result.receiver;
     if (std::none_of(m_parts.begin(), m_parts.end(), isOpen)) {
@@ -521,7 +530,7 @@
         if (isGone(predecessor)) {
             predecessor.lostAt = now;
             state.seenIncarnations.try_emplace(predecessor.vm, base::Incarnation());
-            PAPAYASTEP_LOG(WARNING, logPrefix) << "An earlier idempotency home is gone with its records."
+            PAPAYASTEP_LOG(WARNING, logPrefix) << "An earlier idempotency home is gone, and its records are lost."
                                                << base::field("service", service) << base::field("vm", predecessor.vm);
         } else if (now - predecessor.lastAsked >= resendInterval(waited, m_settings)) {
             sendFetch(service, state, predecessor);
@@ -543,7 +552,7 @@
     return m_hasList && !m_listed.contains(predecessor.vm) && m_clock.now() - predecessor.firstAsked >= listGrace;
 }
 
-/// A first installation where the configuration names VMs that do not run yet.
+/// Returns whether `predecessor` is a VM of a first installation that is configured but does not run yet.
 bool LedgerHome::wasNeverHome(const Predecessor &predecessor) const
 {
     return m_settings.noEarlierRuns && predecessor.atStart && !predecessor.lostAt && m_hasList
--- a/src/routing/ledgermove.cpp
+++ b/src/routing/ledgermove.cpp
@@ -1,4 +1,4 @@
-// The part of LedgerHome that follows homes as they move: who may have been home before, and what they still know.
+// The part of LedgerHome for homes that move: determines the earlier homes and fetches their records.
 #include "papayastep/base/log.h"
 #include "papayastep/routing/ledgerhome.h"
 
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr auto logPrefix = "routing";
-/// The nodes of a first installation start within this time of each other. A sibling that has run for longer shows
-/// that LedgerSettings::noEarlierRuns was left set by mistake.
+/// Time within which all nodes of a first installation start. A sibling that has run for longer shows that
+/// LedgerSettings::noEarlierRuns was left set by mistake.
 constexpr base::Duration firstStartWindow = std::chrono::seconds(30);
 
 bool holds(const std::vector<base::VmId> &vms, const base::VmId &vm)
@@ -18,8 +18,8 @@
     return std::find(vms.begin(), vms.end(), vm) != vms.end();
 }
 
-/// Whether `service` has the same servers on the same VMs. Nearly every service has after a change, and this takes no
-/// copy of their names: with 1,200 services the copies would hold up requests for many milliseconds.
+/// Returns whether the servers of `service` are on the same VMs as before. This holds for nearly every service after a
+/// change. The names are not copied: with 1,200 services the copies would delay requests by many milliseconds.
 bool isUnchanged(const config::Configuration &before, const config::Configuration &now, const base::ServiceId &service)
 {
     const auto &old = before.serversOf(service);
@@ -62,7 +62,7 @@
     state.previousRevision = before ? before->revision() : 0;
     state.asked.clear();
     for (Predecessor &predecessor : state.predecessors) {
-        predecessor.after = KeyHash(); // Other keys are ours now, so a fetch that is under way begins again.
+        predecessor.after = KeyHash(); // The keys of this home differ now, so a fetch in progress restarts.
     }
     for (const auto &vm : *old) {
         if (hasChanged) {
@@ -87,8 +87,8 @@
         fetchFromAll(service, state, like, possibleHomes(service, state));
     }
 
-    // Revisions that this node never held may have had other homes for any key. Each of them fetched from us before it
-    // granted anything, so we know them, and what they granted since must come back.
+    // Under revisions that this node never held, any key may have had other homes. Each of them fetched from this node
+    // before it granted a claim, so they are recorded here, and the records of their grants must be fetched.
     std::vector<base::VmId> skipped;
     for (const Fetcher &fetcher : state.fetchers) {
         const bool isBetween
@@ -105,7 +105,7 @@
     }
 }
 
-/// A route that now leads to another service takes its keys with it.
+/// Moves the keys of routes that lead to another service now.
 void LedgerHome::applyToRoutes(const config::ConfigurationPtr &before)
 {
     for (const auto &route : m_configuration->routes()) {
@@ -132,7 +132,8 @@
     }
 }
 
-/// All that may know of grants: the VMs of the service now and before, and those that took records from us.
+/// Returns all VMs that may have records of grants: the VMs of the service now and before, and those that fetched
+/// records from this node.
 std::vector<base::VmId> LedgerHome::possibleHomes(const base::ServiceId &service, const ServiceState &state) const
 {
     std::set<base::VmId> vms;
@@ -155,7 +156,7 @@
     return std::vector<base::VmId>(vms.begin(), vms.end());
 }
 
-/// An earlier process on this VM may have granted runs that this one knows nothing of.
+/// Adds the earlier process on this VM as a predecessor, since it may have granted runs that are not recorded here.
 void LedgerHome::assumeEarlierProcess(const base::ServiceId &service, ServiceState &state)
 {
     const bool isAssumed
@@ -173,7 +174,7 @@
     state.predecessors.push_back(std::move(self));
 }
 
-/// Asks each of `vms` as a predecessor like `like`, unless it was asked so under this revision.
+/// Sends a fetch to each of `vms` as a predecessor like `like`, unless one was sent so under this revision.
 void LedgerHome::fetchFromAll(const base::ServiceId &service,
                               ServiceState &state,
                               const Predecessor &like,
@@ -212,10 +213,10 @@
 {
     const base::Revision own = m_configuration ? m_configuration->revision() : 0;
     auto found = m_services.find(fetch.sourceService);
-    const base::Revision told = found != m_services.end() ? found->second.frozenUntilRevision : 0;
-    if (fetch.revision < std::max(own, told)) {
-        // Another home may have been told of a later revision and may grant by it. An asker that is behind must not
-        // become home beside it, so it gets no answer before it has caught up.
+    const base::Revision frozenUntil = found != m_services.end() ? found->second.frozenUntilRevision : 0;
+    if (fetch.revision < std::max(own, frozenUntil)) {
+        // Another home may have received a later revision and may grant by it. A requester with an older revision must
+        // not become home at the same time, so it gets no answer before it holds the later one.
         return;
     }
     if (found == m_services.end()) {
@@ -246,7 +247,7 @@
     result.memberFor = state.memberSince ? (now - *state.memberSince).count() : 0;
     result.lostAgo = elapsedSince(latestLoss(fetch.sourceService, state));
     if (!state.memberSince && !m_settings.noEarlierRuns && age() < retentionOf(state)) {
-        result.lostAgo = age().count(); // An earlier process on this VM may have been home.
+        result.lostAgo = age().count(); // An earlier process here may have been home.
     }
     result.possibleHomes = possibleHomes(fetch.sourceService, state);
     result.records = m_ledger.page(
@@ -259,8 +260,8 @@
     send(from, wire::MessageKind::LedgerFetchResult, result);
 }
 
-/// Whether the whole hand-over of the asker's earlier process is here. Only its first new process may have it back:
-/// that one may grant runs, which a second would not learn of here.
+/// Returns whether this node holds the whole hand-over of the requester's earlier process. Only the first new process
+/// may rely on it: that process may grant runs, of which a second one would find no records here.
 bool LedgerHome::holdsFullHandOver(const base::VmId &from, const LedgerFetch &fetch)
 {
     const auto handed = m_incomingHandOvers.find({fetch.service, from});
@@ -276,7 +277,7 @@
 void LedgerHome::noteFetcher(const base::VmId &from, const LedgerFetch &fetch, ServiceState &state)
 {
     if (fetch.service != fetch.sourceService) {
-        // A route moved to another service. An entry that does not know it yet would have its keys run here too.
+        // A route moved to another service. An entry with an older revision would have its keys run here too.
         state.minClaimRevision = std::max(state.minClaimRevision, fetch.revision);
     }
     const auto isSame
@@ -285,7 +286,7 @@
     state.fetchers.push_back(Fetcher{from, fetch.revision, m_clock.now()});
     const auto [heard, isNew] = state.seenIncarnations.try_emplace(from, fetch.incarnation);
     if (!isNew && heard->second != fetch.incarnation) {
-        // Stays in mind as an earlier process, whatever the number of starts.
+        // The VM stays recorded as one with an earlier process, regardless of the number of starts.
         state.formerHomes[from] = m_clock.now();
         heard->second = fetch.incarnation;
     }
@@ -306,7 +307,7 @@
     };
     const bool isExpected = std::any_of(state.predecessors.begin(), state.predecessors.end(), isAsked);
     if (!isExpected || !mergePage(result)) {
-        return; // Without room it is not settled, and asked again later.
+        return; // Without room the predecessor is not resolved, and the fetch is resent later.
     }
     if (result.last) {
         resolvePredecessors(from, result, state);
@@ -331,7 +332,7 @@
     return true;
 }
 
-/// Whether there was an earlier process on this VM, and whether it left its records when it stopped.
+/// Records whether there was an earlier process on this VM, and whether it handed its records over when it stopped.
 void LedgerHome::updateEarlierProcess(const base::VmId &from, const LedgerFetchResult &result, ServiceState &state)
 {
     if (result.hasFullHandOver) {
@@ -346,7 +347,8 @@
     }
 }
 
-/// All pages of `from` are here. What it may have lost stays open as lost, and the VMs that it names are asked too.
+/// Resolves the predecessors for `from` after its last page. Those that may have lost records are kept as lost, and the
+/// VMs that the result names are asked too.
 void LedgerHome::resolvePredecessors(const base::VmId &from, const LedgerFetchResult &result, ServiceState &state)
 {
     updateEarlierProcess(from, result, state);
@@ -373,10 +375,10 @@
     const bool allAnswered = std::all_of(
         state.predecessors.begin(), state.predecessors.end(), [](const auto &p) { return p.lostAt.has_value(); });
     if (allAnswered && state.unseenByLongTimeMember && !state.earlierProcessSeen) {
-        // Whoever grants has fetched from every VM of the service before. So no earlier process here has granted.
+        // A home fetches from every VM of the service before it grants. So no earlier process here has granted a claim.
         std::erase_if(state.predecessors, [](const auto &p) { return p.isSelf; });
     }
-    PAPAYASTEP_LOG(INFO, logPrefix) << "An earlier idempotency home gave its records."
+    PAPAYASTEP_LOG(INFO, logPrefix) << "An earlier idempotency home sent its records."
                                     << base::field("service", result.service) << base::field("from", from)
                                     << base::field("open", state.predecessors.size());
 }
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -12,15 +12,15 @@
 
 using Indexes = boost::container::small_vector<std::uint32_t, 256>;
 
-constexpr int drawsWhenFull = 2; ///< After the first two.
-constexpr int maxWeightedDraws = 8; ///< Then the last draw stands: bounds the work when all weights are small.
+constexpr int drawsWhenFull = 2; ///< Number of draws in addition to the first two.
+constexpr int maxWeightedDraws = 8; ///< After these the last draw is used, which limits the work for small weights.
 
 double milliseconds(base::Duration duration)
 {
     return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-/// A number in [0, size). The bias of the multiplication is below 2^-32 for any real number of servers.
+/// Returns a random number in [0, size). The bias of the multiplication is below 2^-32 for any real number of servers.
 std::uint32_t draw(std::mt19937_64 &random, std::size_t size)
 {
     return static_cast<std::uint32_t>(((random() >> 32) * size) >> 32);
@@ -37,8 +37,8 @@
     return std::find(tried.begin(), tried.end(), candidate.server) != tried.end();
 }
 
-/// Gets ordinary traffic, as far as its own state goes.
-bool isWell(const Candidate &candidate)
+/// Returns whether the candidate's own state allows ordinary traffic.
+bool isHealthy(const Candidate &candidate)
 {
     return candidate.usable && candidate.pathUsable && !candidate.trial && !candidate.drained;
 }
@@ -55,7 +55,7 @@
     return index;
 }
 
-/// One of `from` other than `first`, of which there must be one.
+/// Draws an element of `from` other than `first`; there must be one.
 std::uint32_t drawOther(std::span<const Candidate> candidates,
                         const Indexes &from,
                         std::uint32_t first,
@@ -65,7 +65,7 @@
     if (drawn != first) {
         return drawn;
     }
-    // Another one with equal chances, without drawing for ever.
+    // Chooses another one with equal probabilities, without an unlimited number of draws.
     const auto position = static_cast<std::size_t>(std::find(from.begin(), from.end(), first) - from.begin());
     return from[(position + 1 + draw(random, from.size() - 1)) % from.size()];
 }
@@ -75,16 +75,16 @@
     return candidate.slotsInUse + candidate.queueLength >= candidate.slots;
 }
 
-Placement only(std::uint32_t index, PlacementReason reason)
+Placement placementOf(std::uint32_t index, PlacementReason reason)
 {
     return Placement{index, std::nullopt, reason};
 }
 
-/// Nobody is well: a wrong verdict about all must not stop the service, so everybody shares the traffic. A path
-/// known to be broken is the last resort.
-Placement placeWhenAllAreBad(std::span<const Candidate> candidates,
-                             const PlacementRequest &request,
-                             std::mt19937_64 &random)
+/// Places a request when no server is healthy. A wrong verdict on all servers must not stop the service, so all share
+/// the traffic. Servers behind a broken network path are the last resort.
+Placement placeWhenAllUnhealthy(std::span<const Candidate> candidates,
+                                const PlacementRequest &request,
+                                std::mt19937_64 &random)
 {
     Indexes reachable;
     Indexes others;
@@ -98,10 +98,11 @@
     if (from.empty()) {
         return {};
     }
-    return only(from[draw(random, from.size())], PlacementReason::AllUnhealthy);
+    return placementOf(from[draw(random, from.size())], PlacementReason::AllUnhealthy);
 }
 
-/// A trial server gets its weight's part of an equal share, and only of requests that can be repeated elsewhere.
+/// Draws a server on trial, which gets the fraction of an equal share that its weight gives. To be called only for
+/// requests that can be repeated elsewhere.
 std::optional<std::uint32_t> placeOnTrial(std::span<const Candidate> candidates,
                                           const Indexes &trials,
                                           std::mt19937_64 &random)
@@ -164,7 +165,7 @@
     if (from.empty()) {
         return {};
     }
-    return only(from[draw(random, from.size())], PlacementReason::Random);
+    return placementOf(from[draw(random, from.size())], PlacementReason::Random);
 }
 
 TwoChoicePlacement::TwoChoicePlacement(TwoChoiceSettings settings)
@@ -182,7 +183,7 @@
     const bool known = candidate.latency > base::Duration::zero();
     const double latency = milliseconds(known ? candidate.latency : m_settings.defaultLatency);
     const double slots = std::max(candidate.slots, 1);
-    // Figures that are too old are worth no more than the guess that half of the slots are busy.
+    // For stale figures half of the slots are assumed to be busy.
     const bool stale = candidate.loadAge > m_settings.staleAfter;
     const double load = stale ? 0.5 : (candidate.slotsInUse + candidate.queueLength) / slots;
     const double queueing = stale ? 0 : candidate.queueLength / slots;
@@ -199,49 +200,50 @@
                                     const PlacementRequest &request,
                                     std::mt19937_64 &random) const
 {
-    Indexes well;
+    Indexes healthy;
     Indexes nearby;
     Indexes trials;
-    bool anybodyWell = false;
+    bool anyHealthy = false;
     for (std::uint32_t i = 0; i < candidates.size(); ++i) {
         const Candidate &candidate = candidates[i];
         const bool isTrial = candidate.trial && candidate.pathUsable && !candidate.drained;
-        anybodyWell = anybodyWell || isWell(candidate);
+        anyHealthy = anyHealthy || isHealthy(candidate);
         if (wasTried(candidate, request.tried)) {
             continue;
         }
         if (isTrial && request.idempotent) {
             trials.push_back(i);
         }
-        if (isWell(candidate)) {
-            well.push_back(i);
+        if (isHealthy(candidate)) {
+            healthy.push_back(i);
             if (candidate.zone == request.zone) {
                 nearby.push_back(i);
             }
         }
     }
-    if (!anybodyWell) {
-        return placeWhenAllAreBad(candidates, request, random);
+    if (!anyHealthy) {
+        return placeWhenAllUnhealthy(candidates, request, random);
     }
     if (!trials.empty()) {
         if (const auto trial = placeOnTrial(candidates, trials, random)) {
-            return only(*trial, PlacementReason::Trial);
+            return placementOf(*trial, PlacementReason::Trial);
         }
     }
-    if (well.empty()) {
+    if (healthy.empty()) {
         return {};
     }
-    if (well.size() == 1) {
-        return only(well.front(), PlacementReason::OnlyOne);
+    if (healthy.size() == 1) {
+        return placementOf(healthy.front(), PlacementReason::OnlyOne);
     }
 
-    const std::uint32_t first = drawWeighted(candidates, nearby.empty() ? well : nearby, random);
-    Placement placement = betterOfTwo(candidates, request, first, drawOther(candidates, well, first, random));
-    // Both servers are full although others may have room: a request in a queue waits for a whole answer's time, so
-    // further draws pay. They stay few, since with lagging figures all entries would flood the same idle server.
+    const std::uint32_t first = drawWeighted(candidates, nearby.empty() ? healthy : nearby, random);
+    Placement placement = betterOfTwo(candidates, request, first, drawOther(candidates, healthy, first, random));
+    // If both servers are full, others may have room. A queued request waits for the time of a whole answer, so further
+    // draws are worth their cost. Their number is small, since with lagging figures all entries would overload the same
+    // idle server.
     for (int i = 0; i < drawsWhenFull && isFull(candidates[*placement.candidate]); ++i) {
         const auto best = static_cast<std::uint32_t>(*placement.candidate);
-        placement = betterOfTwo(candidates, request, best, drawOther(candidates, well, best, random));
+        placement = betterOfTwo(candidates, request, best, drawOther(candidates, healthy, best, random));
     }
     return placement;
 }
@@ -264,24 +266,24 @@
 
 namespace {
 
-std::string noteOn(const Candidate &candidate, const PlacementRequest &request)
+std::string noteFor(const Candidate &candidate, const PlacementRequest &request)
 {
     if (candidate.drained) {
         return "draining or leaving";
     }
     if (wasTried(candidate, request.tried)) {
-        return "tried before";
+        return "already tried";
     }
     if (!candidate.pathUsable) {
         return "path broken";
     }
     if (candidate.trial) {
-        return request.idempotent ? "on trial, gets a trickle" : "on trial, idempotent requests only";
+        return request.idempotent ? "on trial, gets few requests" : "on trial, idempotent requests only";
     }
     return candidate.usable ? "" : "ejected";
 }
 
-std::string sentenceOn(std::span<const ScoredCandidate> scored, const Placement &placement)
+std::string sentenceFor(std::span<const ScoredCandidate> scored, const Placement &placement)
 {
     if (!placement.candidate) {
         return "No backend server can take the request.";
@@ -300,16 +302,16 @@
         break;
     }
     case PlacementReason::OnlyOne:
-        sentence << "as the only one left.";
+        sentence << "as the only candidate left.";
         break;
     case PlacementReason::Trial:
-        sentence << "on trial, to see whether it is well again.";
+        sentence << "on trial, to test whether it has recovered.";
         break;
     case PlacementReason::LeastCost:
         sentence << "for the least expected cost.";
         break;
     case PlacementReason::AllUnhealthy:
-        sentence << "at random, since no backend server looks well.";
+        sentence << "at random, since no backend server is healthy.";
         break;
     case PlacementReason::Random:
     case PlacementReason::NoCandidate:
@@ -327,12 +329,12 @@
 {
     PlacementExplanation explanation;
     for (const Candidate &candidate : candidates) {
-        const std::string note = noteOn(candidate, request);
+        const std::string note = noteFor(candidate, request);
         const bool eligible = note.empty() || (candidate.trial && request.idempotent && !candidate.drained);
         explanation.candidates.push_back(
             ScoredCandidate{candidate, score(candidate, request.idempotent), eligible, note});
     }
-    explanation.sentence = sentenceOn(explanation.candidates, placement);
+    explanation.sentence = sentenceFor(explanation.candidates, placement);
     return explanation;
 }
 
@@ -356,14 +358,16 @@
         const Candidate &sibling = siblings[i];
         const bool hasFreeSlot = sibling.slotsInUse + sibling.queueLength < sibling.slots;
         const bool isKnown = sibling.loadAge <= settings.staleAfter && sibling.latency > base::Duration::zero();
-        if (isWell(sibling) && hasFreeSlot && isKnown && !wasTried(sibling, request.tried) && timeOf(sibling) < limit) {
+        if (isHealthy(sibling) && hasFreeSlot && isKnown && !wasTried(sibling, request.tried)
+            && timeOf(sibling) < limit) {
             better.push_back(i);
         }
     }
     if (better.empty()) {
         return std::nullopt;
     }
-    // Two choices here too: if all full servers chose the same best sibling it would be flooded within a second.
+    // Two random choices are compared here too: if all full servers chose the same best sibling, it would be overloaded
+    // within a second.
     const std::uint32_t first = drawWeighted(siblings, better, random);
     const std::uint32_t second = drawWeighted(siblings, better, random);
     const auto freeSlots = [&](std::uint32_t index) { return siblings[index].slots - siblings[index].slotsInUse; };
--- a/src/routing/retrybudget.cpp
+++ b/src/routing/retrybudget.cpp
@@ -12,7 +12,7 @@
     return std::chrono::duration<double>(duration).count();
 }
 
-constexpr double epsilon = 1e-9; ///< So that five fifths make a whole.
+constexpr double epsilon = 1e-9; ///< Tolerance for rounding, by which five fifths count as a whole.
 
 }
 
@@ -21,10 +21,10 @@
     constexpr double ratioPart = 0.65;
     constexpr double slackPart = 0.3;
     constexpr double longestDebt = 0.7;
-    constexpr int memory = 2; ///< Part of the window.
+    constexpr int windowDivisor = 2; ///< Divides the window of the limit to the decay time of the node's budget.
     RetryBudgetSettings settings;
     settings.share = ratioPart * limit.ratio;
-    settings.window = limit.window / memory;
+    settings.window = limit.window / windowDivisor;
     settings.maxReserve = slackPart * limit.slack / static_cast<double>(std::max<std::size_t>(1, nodes));
     settings.reservePerSecond = settings.maxReserve / seconds(limit.window);
     settings.maxDebt = std::min(longestDebt, settings.maxReserve);
@@ -100,7 +100,7 @@
 
 void RetryBudget::tick()
 {
-    // After ten windows nothing earned is left, and the reserve is full by then unless it fills slower still.
+    // After ten windows nothing earned is left. By then the reserve is full too, unless it fills more slowly.
     const double refill = m_settings.maxReserve / std::max(m_settings.reservePerSecond, epsilon);
     const double idle = std::max(10 * seconds(m_settings.window), refill);
     const auto now = m_clock.now();
--- a/src/routing/retrypolicy.cpp
+++ b/src/routing/retrypolicy.cpp
@@ -8,7 +8,7 @@
 
 using base::ResultCode;
 
-/// Refusals that another server would repeat: the request, the key or the entry is at fault.
+/// Returns whether another server would refuse the request too, since the request, the key or the entry is at fault.
 bool isFinal(ResultCode code)
 {
     switch (code) {
@@ -26,8 +26,8 @@
     }
 }
 
-/// Refusals that the same request would meet again later.
-bool isHopeless(ResultCode code)
+/// Returns whether the same request would be refused again at any later time.
+bool isPermanent(ResultCode code)
 {
     switch (code) {
     case ResultCode::KeyUnknown:
@@ -42,8 +42,8 @@
     }
 }
 
-/// Refused by the serving node, so that the backend server never saw the attempt: it costs the server nothing, and
-/// counts neither as one of the servers that the route allows nor as a repeat.
+/// Returns whether the serving node refused the attempt before the backend server received it. Such an attempt costs
+/// the server nothing, and counts neither for the number of servers that the route allows nor as a repeat.
 bool neverReachedServer(const AttemptResult &result)
 {
     const bool byServer
@@ -51,7 +51,7 @@
     return !(result.event == AttemptEvent::RefusedNotRun && byServer);
 }
 
-RetryDecision plain(RetryAction action, std::string_view reason)
+RetryDecision decisionOf(RetryAction action, std::string_view reason)
 {
     return RetryDecision{action, false, {}, reason};
 }
@@ -141,7 +141,7 @@
     return mayTryAgain(progress) && m_budget.spend(progress.service, progress.workspace);
 }
 
-/// After takeRetry() or mayTryAgain() said no.
+/// Returns the reason after takeRetry() or mayTryAgain() returned false.
 std::string_view RetryPolicy::whyNoRetry(const RequestProgress &progress) const
 {
     return mayTryAgain(progress) ? "The retry budget is spent." : "No attempt is left.";
@@ -154,7 +154,7 @@
     case AttemptEvent::CancelNeverStarted:
         return onProvenNotRun(progress, result);
     case AttemptEvent::RefusedNotRun:
-        // A serving node that has seen the attempt before doesn't say what became of the first copy.
+        // A serving node that received the attempt before does not report what became of the first copy.
         return result.code == ResultCode::HopReplayed ? onPossibleRun(progress, result)
                                                       : onProvenNotRun(progress, result);
     case AttemptEvent::NotAcknowledged:
@@ -167,22 +167,22 @@
     case AttemptEvent::CancelUnanswered:
         return onPossibleRun(progress, result);
     case AttemptEvent::CancelStarted:
-        // Still open: it may yet end with proof, when the backend server refuses the connection.
-        return plain(RetryAction::Wait, "The attempt has started, so its answer is awaited.");
+        // The attempt is still open: it may yet end with proof if the backend server refuses the connection.
+        return decisionOf(RetryAction::Wait, "The attempt has started, so its answer is awaited.");
     case AttemptEvent::CancelDone:
         progress.mayHaveRun = true;
-        return plain(RetryAction::Wait, "The attempt has run, so its answer is awaited.");
+        return decisionOf(RetryAction::Wait, "The attempt has run, so its answer is awaited.");
     case AttemptEvent::PartialForwarded:
         progress.mayHaveRun = true;
-        return plain(RetryAction::BreakOff, "The answer broke off after a part of it was passed on.");
+        return decisionOf(RetryAction::BreakOff, "The answer was cut off after a part of it was forwarded.");
     case AttemptEvent::Complete:
         progress.mayHaveRun = true;
-        return plain(RetryAction::AnswerCaller, "The answer is whole.");
+        return decisionOf(RetryAction::AnswerCaller, "The answer is complete.");
     case AttemptEvent::CallerGone:
         progress.mayHaveRun = true;
-        return plain(RetryAction::BreakOff, "The caller has gone, so nobody waits for the answer.");
+        return decisionOf(RetryAction::BreakOff, "The caller closed its connection.");
     }
-    return refuse(progress, ResultCode::Internal, base::Duration::zero(), "The event is not known.");
+    return refuse(progress, ResultCode::Internal, base::Duration::zero(), "The event is unknown.");
 }
 
 RetryDecision RetryPolicy::onProvenNotRun(RequestProgress &progress, const AttemptResult &result)
@@ -204,7 +204,7 @@
         return refuse(progress, code, result.retryAfter, "An earlier attempt may have run.");
     }
     if (free ? mayTryAgain(progress) : takeRetry(progress)) {
-        return plain(RetryAction::RetryElsewhere, "The attempt did not run, which is proved.");
+        return decisionOf(RetryAction::RetryElsewhere, "The attempt provably did not run.");
     }
     return refuse(progress, code, result.retryAfter, whyNoRetry(progress));
 }
@@ -213,15 +213,17 @@
 {
     if (!progress.idempotent) {
         const bool acknowledged = result.event == AttemptEvent::AcknowledgedThenSilent;
-        return plain(RetryAction::CancelFirst,
-                     acknowledged ? "No answer came in time, and only a cancel shows whether it started."
-                                  : "No acknowledgement came in time, and only a cancel shows whether it started.");
+        return decisionOf(RetryAction::CancelFirst,
+                          acknowledged
+                              ? "No answer came in time, and only a cancel shows whether it started."
+                              : "No acknowledgement came in time, and only a cancel shows whether it started.");
     }
     if (!takeRetry(progress)) {
-        return plain(RetryAction::Wait, whyNoRetry(progress));
+        return decisionOf(RetryAction::Wait, whyNoRetry(progress));
     }
     progress.mayHaveRun = true;
-    RetryDecision decision = plain(RetryAction::RetryElsewhere, "The attempt is silent and safe to repeat.");
+    RetryDecision decision
+        = decisionOf(RetryAction::RetryElsewhere, "The attempt got no response and is safe to repeat.");
     decision.cancelPrevious = true;
     return decision;
 }
@@ -237,11 +239,11 @@
         return decision;
     }
     if (progress.idempotent && takeRetry(progress)) {
-        return plain(RetryAction::RetryElsewhere, "The attempt failed and is safe to repeat.");
+        return decisionOf(RetryAction::RetryElsewhere, "The attempt failed and is safe to repeat.");
     }
     if (hasAnswer) {
-        return plain(RetryAction::AnswerCaller,
-                     progress.idempotent ? whyNoRetry(progress) : "The request may not run twice.");
+        return decisionOf(RetryAction::AnswerCaller,
+                          progress.idempotent ? whyNoRetry(progress) : "The request may not run twice.");
     }
     const bool partial = result.event == AttemptEvent::Partial;
     const ResultCode code = partial ? ResultCode::AnswerIncomplete : ResultCode::OutcomeUnknown;
@@ -267,14 +269,14 @@
     } else if (progress.idempotent) {
         refusal.retryClass = RetryClass::Later;
     } else if (progress.hasIdempotencyKey) {
-        // The ledger holds the key as running until the deadline; an earlier repeat would only be told so.
+        // The ledger records the key as running until the deadline, so an earlier repeat would only be refused.
         refusal.retryClass = RetryClass::WithSameKey;
         refusal.retryAfter = std::max(refusal.retryAfter, progress.deadline - m_clock.now());
     } else {
         refusal.retryClass = RetryClass::AfterCheck;
         refusal.retryAfter = base::Duration::zero();
     }
-    if (isHopeless(code) && refusal.outcome == Outcome::NotRun) {
+    if (isPermanent(code) && refusal.outcome == Outcome::NotRun) {
         refusal.retryClass = RetryClass::Never;
         refusal.retryAfter = base::Duration::zero();
     }
@@ -296,7 +298,7 @@
     }
     const auto multiple = std::chrono::duration_cast<base::Duration>(typicalLatency * m_settings.answerTimeoutFactor);
     const base::Duration patience = std::min(std::max(multiple, m_settings.minAnswerTimeout), remaining / 2);
-    // Giving up when little more than a usual answer's time is left would only cut the answer short.
+    // A timeout little longer than a typical answer would only cut the answer off.
     if (patience >= 2 * typicalLatency) {
         timeouts.answer = patience;
     }
--- a/src/routing/routetable.cpp
+++ b/src/routing/routetable.cpp
@@ -24,7 +24,7 @@
     return result;
 }
 
-/// `Host` without its port. Brackets of an IPv6 address stay.
+/// Returns the host without its port. Brackets of an IPv6 address stay.
 std::string_view withoutPort(std::string_view host)
 {
     const auto colon = host.rfind(':');
@@ -34,7 +34,7 @@
     return host.substr(0, colon);
 }
 
-/// `/refunds/` and `/refunds` name the same prefix, and `/` the empty one.
+/// Removes trailing slashes: `/refunds/` and `/refunds` are the same prefix, and `/` is the empty one.
 std::string_view withoutTrailingSlash(std::string_view prefix)
 {
     while (!prefix.empty() && prefix.back() == '/') {
@@ -58,7 +58,7 @@
     return (low >= 'a' && low <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '.' || c == '_' || c == '~';
 }
 
-/// The character that `%XY` at `position` stands for, or -1.
+/// Returns the character that `%XY` at `position` encodes, or -1 if it is not a valid escape.
 int escapedAt(std::string_view path, std::size_t position)
 {
     if (position + 2 >= path.size()) {
@@ -70,7 +70,7 @@
 }
 
 /// Decodes escapes of unreserved characters (RFC 3986 6.2.2.2): `/%72efunds` is `/refunds` to a backend server.
-/// Empty for an escape that is none.
+/// Returns nothing if an escape is invalid.
 std::optional<std::string> withoutNeedlessEscapes(std::string_view path)
 {
     std::string result;
@@ -94,8 +94,8 @@
     return result;
 }
 
-/// Whether `path`, free of needless escapes, holds a segment that a backend server may resolve or merge.
-/// An escaped slash or backslash counts as a separator here, since some servers decode before they split.
+/// Returns whether `path`, without needless escapes, contains a segment that a backend server may resolve or merge. An
+/// escaped slash or backslash counts as a separator here, since some servers decode the path before they split it.
 bool isAmbiguous(std::string_view path)
 {
     std::size_t segmentLength = 0;
@@ -151,7 +151,7 @@
     return hash;
 }
 
-/// Brings routes of the same host and prefix together, in the order in which they are tried.
+/// Sorts routes of the same host and prefix next to each other, in the order in which they are tried.
 struct SortKey
 {
     std::string host;
--- a/src/routing/slotsurvey.cpp
+++ b/src/routing/slotsurvey.cpp
@@ -10,10 +10,10 @@
 
 using base::ResultCode;
 
-/// A node that answered nothing is asked last for so long. Cuts and pauses last seconds; a node that was only busy for
-/// a moment must not stay without work.
+/// Time for which a node that did not answer is asked last. Network cuts and pauses last seconds, but a node that was
+/// busy only for a moment must not stay without work.
 constexpr base::Duration silenceMemory = std::chrono::seconds(1);
-/// After it another entry has surely given the server a request.
+/// Time after which a recorded idle time is outdated, as another entry has certainly sent the server a request.
 constexpr base::Duration idleMemory = std::chrono::seconds(1);
 
 bool isFull(const SlotQuote &quote)
@@ -152,7 +152,7 @@
     return tally;
 }
 
-/// The servers that the policy would choose one after the other.
+/// Returns the servers that the policy would choose one after the other.
 std::vector<std::size_t> SlotSurvey::nextWave(base::TimePoint now, std::mt19937_64 &random)
 {
     const std::size_t size = m_waves == 0 ? m_settings.firstWave : m_settings.laterWave;
@@ -180,7 +180,7 @@
     ++m_asked;
 }
 
-/// Any server that would cost about as much as `best`, each as likely.
+/// Draws a server that would cost about as much as `best`, with equal probabilities.
 std::optional<std::size_t> SlotSurvey::similarCostServer(std::size_t best, std::mt19937_64 &random) const
 {
     const double most = costOf(best) + m_settings.explorationTolerance;
@@ -199,8 +199,8 @@
     return alike[std::uniform_int_distribution<std::size_t>(0, alike.size() - 1)(random)];
 }
 
-/// The cheapest of the servers that would take the request after at most `longestWait`. `held`: only of those that are
-/// held back and worth trying.
+/// Returns the server of the least cost among those that would accept the request after at most `longestWait`. With
+/// `held`, only servers that are held back and worth trying are considered; otherwise only the others.
 std::optional<std::size_t> SlotSurvey::best(base::Duration longestWait, bool held) const
 {
     std::optional<std::size_t> found;
@@ -222,7 +222,7 @@
     return found;
 }
 
-/// A free server that no answer still open can beat by much.
+/// Returns a free server to which no pending answer can be preferred by much.
 std::optional<std::size_t> SlotSurvey::immediateChoice() const
 {
     const auto free = best(base::Duration::zero());
@@ -250,8 +250,8 @@
     return step;
 }
 
-/// Nobody would take it. A server that is held back as gray and may answer all the same is better than a refusal; a
-/// full one would only make the request late.
+/// Ends a survey in which no server would accept the request. A server that is held back as gray but may still answer
+/// is better than a refusal; a full one would only make the request late.
 SurveyStep SlotSurvey::giveUp() const
 {
     if (const auto held = best(base::Duration::max(), true)) {
