--- a/src/include/papayastep/membership/configdistributor.h
+++ b/src/include/papayastep/membership/configdistributor.h
@@ -69,7 +69,7 @@
 };
 
 /// The files to fetch for a revision that the platform offers. If `isNeeded` is true and `files` is empty, the node
-/// holds all files already and platformFiles() may be called at once.
+/// holds all files already and applyPlatformFiles() may be called at once.
 struct FetchPlan
 {
     bool isNeeded = false;
@@ -127,22 +127,22 @@
     PlatformCall vmListCall() const;
 
     /// Handles a listing from the platform. Returns the files to fetch, if any.
-    FetchPlan platformListing(const config::FileListing &listing);
+    FetchPlan applyPlatformListing(const config::FileListing &listing);
     /// Handles the files of a fetch plan after all of them were fetched. Does not throw: a revision that is incomplete
     /// or invalid is logged and ignored, and an invalid one is counted.
-    void platformFiles(const config::FileListing &listing, const std::vector<config::ConfigurationFile> &fetched);
+    void applyPlatformFiles(const config::FileListing &listing, const std::vector<config::ConfigurationFile> &fetched);
     /// Records that the platform holds `revision`, as reported by another of its answers. If the revision is new, a
     /// read is due at once.
     void notePlatformRevision(base::Revision revision);
     /// Handles a watch that ended without a new revision.
-    void platformUnchanged();
-    void platformFailed();
+    void notePlatformUnchanged();
+    void notePlatformFailed();
 
-    void platformVmList(config::VmList list);
+    void applyPlatformVmList(config::VmList list);
     /// Accepts a VM list that each node builds from its own reads. It is not sent to other nodes.
-    void localVmList(config::VmList list);
-    void platformVmListUnchanged();
-    void platformVmListFailed();
+    void applyLocalVmList(config::VmList list);
+    void notePlatformVmListUnchanged();
+    void notePlatformVmListFailed();
 
     // Messages from and to other nodes.
     /// Handles a message of kinds 30 to 39. Throws Error(MessageMalformed), Error(MessageFromStranger) or, for any
--- a/src/membership/configdistributor.cpp
+++ b/src/membership/configdistributor.cpp
@@ -61,7 +61,7 @@
     return m_vmListSchedule.call(isReader(), m_directory.list().version);
 }
 
-FetchPlan ConfigDistributor::platformListing(const config::FileListing &listing)
+FetchPlan ConfigDistributor::applyPlatformListing(const config::FileListing &listing)
 {
     const base::TimePoint now = m_clock.now();
     m_configurationSchedule.readAnswered(now, m_directory.list().vms.size(), m_random);
@@ -81,7 +81,7 @@
     if (listing.files.size() > maxFiles) {
         PAPAYASTEP_LOG(WARNING, logPrefix)
             << "The platform lists too many files." << base::field("files", listing.files.size());
-        platformFailed();
+        notePlatformFailed();
         return {};
     }
     FetchPlan plan{true, now, {}};
@@ -106,8 +106,8 @@
     return std::chrono::duration_cast<base::Duration>(longest * part(m_random));
 }
 
-void ConfigDistributor::platformFiles(const config::FileListing &listing,
-                                      const std::vector<config::ConfigurationFile> &fetched)
+void ConfigDistributor::applyPlatformFiles(const config::FileListing &listing,
+                                           const std::vector<config::ConfigurationFile> &fetched)
 {
     if (isRevisionHandled(listing.revision)) {
         return;
@@ -118,7 +118,7 @@
         PAPAYASTEP_LOG(WARNING, logPrefix)
             << "A revision from the platform is incomplete." << base::field("revision", listing.revision)
             << base::field("error", error.what());
-        platformFailed();
+        notePlatformFailed();
     }
 }
 
@@ -130,29 +130,29 @@
     }
 }
 
-void ConfigDistributor::platformUnchanged()
+void ConfigDistributor::notePlatformUnchanged()
 {
     m_configurationSchedule.watchEnded();
 }
 
-void ConfigDistributor::platformFailed()
+void ConfigDistributor::notePlatformFailed()
 {
     m_configurationSchedule.failed(m_clock.now(), m_random);
 }
 
-void ConfigDistributor::platformVmList(config::VmList list)
+void ConfigDistributor::applyPlatformVmList(config::VmList list)
 {
     if (list.vms.empty() && !m_directory.list().vms.empty()) {
         // An empty list would cut each node off from all others, and so from every repair.
         PAPAYASTEP_LOG(WARNING, logPrefix) << "Ignored a VM list of the platform that contains no VM.";
-        platformVmListFailed();
+        notePlatformVmListFailed();
         return;
     }
     m_vmListSchedule.readAnswered(m_clock.now(), list.vms.size(), m_random);
     acceptVmList(std::move(list), true);
 }
 
-void ConfigDistributor::localVmList(config::VmList list)
+void ConfigDistributor::applyLocalVmList(config::VmList list)
 {
     if (!m_directory.accept(std::move(list))) {
         return;
@@ -161,12 +161,12 @@
     m_vmListRepair.noteHeldVersion(m_directory.list().version);
 }
 
-void ConfigDistributor::platformVmListUnchanged()
+void ConfigDistributor::notePlatformVmListUnchanged()
 {
     m_vmListSchedule.watchEnded();
 }
 
-void ConfigDistributor::platformVmListFailed()
+void ConfigDistributor::notePlatformVmListFailed()
 {
     m_vmListSchedule.failed(m_clock.now(), m_random);
 }
--- a/src/membership/configdistributor_test.cpp
+++ b/src/membership/configdistributor_test.cpp
@@ -134,7 +134,7 @@
     fleet.run(2s);
     fleet.paused[6] = false;
     const auto files = std::vector<config::ConfigurationFile>{{"10-a.json", "{"}};
-    fleet.distributor(6).platformFiles(config::listingOf(3, files), files);
+    fleet.distributor(6).applyPlatformFiles(config::listingOf(3, files), files);
     BOOST_TEST(fleet.distributor(6).status().rejectedCount == 1u);
     fleet.run(20s);
     BOOST_TEST(fleet.nodesAt(2) == 20);
@@ -151,7 +151,7 @@
     ConfigDistributor slow({TestFleet::vm(0), base::ZoneId("a"), 77}, directory, fleet.clock, 5, settings);
     const auto offer = [&slow](base::Revision revision) {
         const auto files = TestFleet::filesWithRate(static_cast<int>(revision));
-        slow.platformFiles(config::listingOf(revision, files), files);
+        slow.applyPlatformFiles(config::listingOf(revision, files), files);
     };
     offer(1);
     auto first = slow.takeBuild();
--- a/src/membership/configurationstream_test.cpp
+++ b/src/membership/configurationstream_test.cpp
@@ -35,7 +35,7 @@
             list.vms.push_back({TestFleet::vm(node), base::ZoneId("a"), "127.0.0.1", 1, 2, 3, 4, false});
         }
         directory.accept(list);
-        distributor.platformFiles(first.listing(), first.files());
+        distributor.applyPlatformFiles(first.listing(), first.files());
         distributor.takeMessages();
     }
 
@@ -132,7 +132,7 @@
     othersDirectory.accept(directory.list());
     ConfigDistributor asked({TestFleet::vm(1), base::ZoneId("a"), 78}, othersDirectory, clock, 6, settings);
     const config::ConfigStore newer(5, TestFleet::filesWithRate(5));
-    asked.platformFiles(newer.listing(), newer.files());
+    asked.applyPlatformFiles(newer.listing(), newer.files());
     ConfigurationRequest request;
     request.wantConfiguration = true;
     for (std::size_t count = 0; count < settings.answersPerSecond; ++count) {
@@ -242,7 +242,7 @@
     fleet.run(2s);
     const auto files = TestFleet::filesWithRate(7);
     for (int node = 0; node < nodes; ++node) {
-        const FetchPlan plan = fleet.distributor(node).platformListing(config::listingOf(7, files));
+        const FetchPlan plan = fleet.distributor(node).applyPlatformListing(config::listingOf(7, files));
         BOOST_TEST(plan.isNeeded);
         BOOST_TEST((plan.notBefore <= fleet.clock.now()));
     }
--- a/src/membership/testfleet.cpp
+++ b/src/membership/testfleet.cpp
@@ -103,14 +103,14 @@
         return;
     }
     if (!platformUp[static_cast<std::size_t>(node)]) {
-        self.distributor->platformFailed();
+        self.distributor->notePlatformFailed();
         return;
     }
     const base::Revision offered
         = platformStale[static_cast<std::size_t>(node)] ? m_published.begin()->first : platformRevision;
     if (call.kind == PlatformCallKind::Watch && offered <= call.after) {
         if (clock.now() - self.watchSince > call.wait) {
-            self.distributor->platformUnchanged();
+            self.distributor->notePlatformUnchanged();
         }
         return;
     }
@@ -118,10 +118,10 @@
     self.watchSince = clock.now();
     const auto &files = m_published.at(offered);
     const config::FileListing listing = config::listingOf(offered, files);
-    const FetchPlan plan = self.distributor->platformListing(listing);
+    const FetchPlan plan = self.distributor->applyPlatformListing(listing);
     if (plan.isNeeded) {
         platformReads += plan.files.size();
-        self.distributor->platformFiles(listing, files);
+        self.distributor->applyPlatformFiles(listing, files);
     }
 }
 
@@ -133,18 +133,18 @@
         return;
     }
     if (!platformUp[static_cast<std::size_t>(node)]) {
-        self.distributor->platformVmListFailed();
+        self.distributor->notePlatformVmListFailed();
         return;
     }
     if (call.kind == PlatformCallKind::Watch && m_vmList.version <= call.after) {
         if (clock.now() - self.vmWatchSince > call.wait) {
-            self.distributor->platformVmListUnchanged();
+            self.distributor->notePlatformVmListUnchanged();
         }
         return;
     }
     ++platformReads;
     self.vmWatchSince = clock.now();
-    self.distributor->platformVmList(m_vmList);
+    self.distributor->applyPlatformVmList(m_vmList);
 }
 
 void TestFleet::deliver()
--- a/src/node/configurationkeeper.cpp
+++ b/src/node/configurationkeeper.cpp
@@ -104,11 +104,11 @@
     try {
         const auto index = co_await m_platform.configuration(call.after, waitOf(call));
         if (!index) {
-            m_spread.platformUnchanged();
+            m_spread.notePlatformUnchanged();
             co_return;
         }
         const config::FileListing listing = listingOf(*index);
-        const membership::FetchPlan plan = m_spread.platformListing(listing);
+        const membership::FetchPlan plan = m_spread.applyPlatformListing(listing);
         if (!plan.isNeeded) {
             co_return;
         }
@@ -122,12 +122,12 @@
             std::string text = co_await m_platform.file(published);
             files.push_back({file.name, std::move(text)});
         }
-        m_spread.platformFiles(listing, files);
+        m_spread.applyPlatformFiles(listing, files);
     } catch (const base::Error &error) {
         PAPAYASTEP_LOG(WARNING, logPrefix)
             << "Could not read the configuration." << base::field("code", number(error.code()))
             << base::field("detail", error.detail());
-        m_spread.platformFailed();
+        m_spread.notePlatformFailed();
     }
 }
 
@@ -138,17 +138,17 @@
         auto list = co_await m_platform.vms(call.after, waitOf(call));
         if (list) {
             m_vmListAskedAt = askedAt;
-            m_spread.platformVmList(std::move(*list));
+            m_spread.applyPlatformVmList(std::move(*list));
         } else {
             // Unchanged at its end: the answer proves the list no longer than one empty watch ago.
             m_vmListAskedAt = askedAt;
-            m_spread.platformVmListUnchanged();
+            m_spread.notePlatformVmListUnchanged();
         }
         m_context.tokens.applyVmList(m_context.vms, m_vmListAskedAt);
     } catch (const base::Error &error) {
         PAPAYASTEP_LOG(WARNING, logPrefix) << "Could not read the VM list." << base::field("code", number(error.code()))
                                            << base::field("detail", error.detail());
-        m_spread.platformVmListFailed();
+        m_spread.notePlatformVmListFailed();
     }
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -369,7 +369,7 @@
 
 void Node::applyDirectory()
 {
-    m_spread.localVmList(m_roster.update(m_servers.version(), m_servers.servers()));
+    m_spread.applyLocalVmList(m_roster.update(m_servers.version(), m_servers.servers()));
     m_context.tokens.applyVmList(m_context.vms, m_directoryKeeper->askedAt());
     if (m_published) {
         putInForce();
