--- a/src/include/papayastep/limits/pooledlimiter.h
+++ b/src/include/papayastep/limits/pooledlimiter.h
@@ -21,16 +21,16 @@
     /// A home that has not answered after it is passed over. Twenty round trips within a region; a node on a fifth of
     /// a core needs some milliseconds of its own.
     base::Duration askTimeout = std::chrono::milliseconds(60);
-    base::Duration suspicion = std::chrono::seconds(1); ///< How long a silent node is passed over.
-    int homesTried = 2; ///< Silent homes until a request is decided alone: it must not wait longer than it runs.
+    base::Duration suspicionTime = std::chrono::seconds(1); ///< How long a silent node is passed over.
+    int maxHomesTried = 2; ///< Silent homes until a request is decided alone: it must not wait longer than it runs.
 
     base::Duration prefetch = std::chrono::milliseconds(200); ///< An entry asks for this much of its demand.
     base::Duration stockLifetime
         = std::chrono::milliseconds(500); ///< Of tokens that an entry has asked for in advance.
 
     /// A stand-in gives their parts to who asked it so lately; where requests are rare, for longer.
-    base::Duration askerMemory = std::chrono::seconds(2);
-    base::Duration longestAskerMemory = std::chrono::seconds(10);
+    base::Duration askerRetention = std::chrono::seconds(2);
+    base::Duration maxAskerRetention = std::chrono::seconds(10);
 
     /// A home asks those for a sign of life of whom it has not heard for so long, and keeps back the parts of those
     /// that have not answered in another such time.
@@ -38,16 +38,16 @@
 
     /// Tokens that an entry got elsewhere are charged to the home's pool up to twice this time later. What is older lay
     /// beyond the burst to which the pool fills up.
-    base::Duration debtMemory = std::chrono::seconds(1);
-    double deepestDebt = 1; ///< Of the burst: a pool is not charged further below nothing.
+    base::Duration debtRetention = std::chrono::seconds(1);
+    double maxDebtBursts = 1; ///< Of the burst: a pool is not charged further below nothing.
 
     /// Tokens that come back to an entry, because no server had room, are kept for its next requests. More than this
     /// many at each entry would be spent together when room is found: with two, and stand-ins that begin a quarter
     /// full, a flood at 22 entries got 626 of 612 tolerated in 5 s.
-    double mostGivenBack = 1;
+    double maxReturnedTokens = 1;
 
     /// What a node may admit alone while it reaches no home: its even part of the rate, and this many tokens at once.
-    double aloneBurst = 1;
+    double localBurst = 1;
 };
 
 /// One pool of tokens for each workspace, held by one VM (its home, by rendezvous hash over the VM list). Each entry
@@ -61,7 +61,7 @@
 class PooledLimiter final : public RateLimiter
 {
 public:
-    PooledLimiter(BrokerSelf self, const base::Clock &clock, PoolSettings settings = {});
+    PooledLimiter(NodeIdentity self, const base::Clock &clock, PoolSettings settings = {});
 
     void applyConfiguration(config::ConfigurationPtr configuration) override;
     void applyVmList(const config::VmList &list, base::TimePoint heardAt) override;
@@ -79,10 +79,10 @@
     void drain() override;
     std::vector<wire::Outgoing> takeMessages() override;
     std::vector<AdmissionDecision> takeDecisions() override;
-    bool isSettled() const override;
+    bool isReady() const override;
     bool chargesRepeats() const override;
     WorkspaceStatus status(const base::WorkspaceId &workspace) const override;
-    const BrokerCounters &counters() const override;
+    const LimiterCounters &counters() const override;
     std::size_t activeWorkspaces() const override;
 
 private:
@@ -90,7 +90,7 @@
     struct Bucket
     {
         double level = 0;
-        base::TimePoint updated;
+        base::TimePoint updatedAt;
 
         void refill(double rate, double burst, base::TimePoint now);
     };
@@ -98,8 +98,8 @@
     /// A node was asked for a sign of life and has given none.
     struct Probe
     {
-        base::TimePoint first;
-        base::TimePoint last;
+        base::TimePoint firstSentAt;
+        base::TimePoint lastSentAt;
     };
 
     /// An entry that asked this node for tokens of a workspace.
@@ -114,12 +114,12 @@
     struct Pool
     {
         Bucket bucket;
-        base::TimePoint spellBegan; ///< When this node began to give.
+        base::TimePoint servingSince; ///< When this node began to give.
         bool isHome = false; ///< Whether this node was the home when the pool was last used.
-        base::TimePoint promisedUntil; ///< Times to come back were given out up to here.
+        base::TimePoint lastRetryTime; ///< Times to come back were given out up to here.
         std::map<base::VmId, Asker> askers;
-        base::TimePoint reviewed; ///< When `part` was worked out.
-        double part = 1; ///< Of the rate, that this pool gives.
+        base::TimePoint fractionUpdatedAt; ///< When `part` was worked out.
+        double rateFraction = 1; ///< Of the rate, that this pool gives.
     };
 
     /// What an entry got from others than the home, in tokens since the start.
@@ -127,8 +127,8 @@
     {
         std::uint64_t total = 0;
         std::uint64_t settled = 0; ///< Charged by a home, or too old to matter.
-        std::uint64_t atMark = 0; ///< `total` at `mark`.
-        base::TimePoint mark;
+        std::uint64_t totalAtMark = 0; ///< `total` at `mark`.
+        base::TimePoint markedAt;
     };
 
     /// What one workspace has at this entry.
@@ -137,14 +137,14 @@
         double stock = 0; ///< Tokens asked for in advance.
         base::TimePoint stockUntil;
         double demand = 0; ///< Requests per second, smoothed.
-        base::TimePoint demandUpdated;
-        Bucket alone;
-        bool aloneUsed = false;
+        base::TimePoint demandUpdatedAt;
+        Bucket localBucket;
+        bool localBucketUsed = false;
         Debt debt;
     };
 
     /// What became of a workspace's requests here since `since`, by whose tokens; and what was given to others.
-    struct Tally
+    struct AdmissionTally
     {
         base::TimePoint since;
         int stock = 0; ///< Out of tokens asked for in advance, or given back.
@@ -157,89 +157,89 @@
     };
 
     /// Who waits for the answer to a wish.
-    struct Wish
+    struct PendingAsk
     {
         base::WorkspaceId workspace;
         std::vector<base::RequestId> requests; ///< Of this entry, in order.
         std::uint32_t wanted = 0;
         base::VmId home; ///< Who was asked.
-        base::TimePoint overdue; ///< When the home counts as silent.
-        std::uint64_t elsewhere = 0; ///< The debt that the home was told of.
+        base::TimePoint timeoutAt; ///< When the home counts as silent.
+        std::uint64_t reportedDebt = 0; ///< The debt that the home was told of.
         int homesTried = 0;
         // On behalf of another node:
         base::VmId asker; ///< Empty: our own wish.
         base::Incarnation askerIncarnation = 0;
-        std::uint64_t askerAsk = 0;
+        std::uint64_t askerAskId = 0;
         std::uint32_t askerUrgent = 0;
     };
 
-    const config::Workspace *limited(const base::WorkspaceId &workspace) const;
-    double partOfRate(const config::Workspace &workspace, const Pool &pool) const;
+    const config::Workspace *limitedWorkspace(const base::WorkspaceId &workspace) const;
+    double currentRateFraction(const config::Workspace &workspace, const Pool &pool) const;
     const std::vector<base::VmId> &homesOf(const base::WorkspaceId &workspace) const;
-    std::vector<base::VmId> weighHomes(const base::WorkspaceId &workspace) const;
+    std::vector<base::VmId> rankHomes(const base::WorkspaceId &workspace) const;
     base::VmId reachableHome(const base::WorkspaceId &workspace) const;
     bool isSuspect(const base::VmId &vm) const;
-    void noteLeft(const std::vector<base::VmId> &vms);
-    bool wasReplaced(const base::WorkspaceId &workspace, base::TimePoint since) const;
+    void recordRemovedVms(const std::vector<base::VmId> &vms);
+    bool higherRankedVmRemoved(const base::WorkspaceId &workspace, base::TimePoint since) const;
     bool homeFellSilent(const base::WorkspaceId &workspace, base::TimePoint since) const;
-    base::Duration askerMemory(const config::Workspace &workspace) const;
+    base::Duration askerRetention(const config::Workspace &workspace) const;
     bool isSilent(const base::VmId &vm) const;
     bool isFirstHome(const base::WorkspaceId &workspace) const;
 
-    void noteDemand(Entry &entry);
+    void updateDemand(Entry &entry);
     Pool &poolOf(const config::Workspace &workspace);
-    void beginSpell(const config::Workspace &workspace, Pool &pool);
-    void review(const config::Workspace &workspace, Pool &pool);
-    void creditNewcomer(const config::Workspace &workspace, Pool &pool, base::TimePoint since);
-    void probeSilent();
-    void noteAsker(const config::Workspace &workspace,
-                   const base::VmId &from,
-                   base::Incarnation incarnation,
-                   const PoolWish &wish);
-    void noteElsewhere(const base::WorkspaceId &workspace, std::uint32_t tokens);
+    void startServing(const config::Workspace &workspace, Pool &pool);
+    void updateRateFraction(const config::Workspace &workspace, Pool &pool);
+    void creditNewAsker(const config::Workspace &workspace, Pool &pool, base::TimePoint since);
+    void probeSilentNodes();
+    void recordAsker(const config::Workspace &workspace,
+                     const base::VmId &from,
+                     base::Incarnation incarnation,
+                     const PoolTokenAsk &wish);
+    void addDebt(const base::WorkspaceId &workspace, std::uint32_t tokens);
     Debt &currentDebt(const base::WorkspaceId &workspace);
     std::uint32_t takeFromPool(const config::Workspace &workspace, std::uint32_t urgent, std::uint32_t wanted);
-    base::Duration comeBackAfter(const config::Workspace &workspace);
-    bool takeAlone(const config::Workspace &workspace, Entry &entry);
-    Token tokenOf(const base::WorkspaceId &workspace) const;
-
-    void ask(Wish wish);
-    void answer(const base::VmId &to, base::Incarnation incarnation, const PoolAnswer &answer);
-    void decideAlone(const Wish &wish);
-    void settle(const Wish &wish, std::uint32_t granted, base::Duration retryAfter, bool ofHome);
+    base::Duration nextRetryAfter(const config::Workspace &workspace);
+    bool takeLocally(const config::Workspace &workspace, Entry &entry);
+    Token makeToken(const base::WorkspaceId &workspace) const;
+
+    void askNextHome(PendingAsk wish);
+    void queueAnswer(const base::VmId &to, base::Incarnation incarnation, const PoolAnswer &answer);
+    void decideLocally(const PendingAsk &wish);
+    void completeAsk(const PendingAsk &wish, std::uint32_t granted, base::Duration retryAfter, bool ofHome);
     void receiveAsk(const base::VmId &from, base::Incarnation incarnation, const PoolAsk &ask);
-    void receiveWish(const base::VmId &from, base::Incarnation incarnation, const PoolWish &wish);
+    void receiveTokenAsk(const base::VmId &from, base::Incarnation incarnation, const PoolTokenAsk &wish);
     void receiveGrant(const base::VmId &from, const PoolGrant &grant);
-    void passOver(const base::VmId &home);
+    void suspectHome(const base::VmId &home);
 
-    Tally &tallyOf(const base::WorkspaceId &workspace);
-    void tallyAdmitted(const base::WorkspaceId &workspace, const base::VmId &home);
-    void writeTallies();
-    void writeTally(const base::WorkspaceId &workspace, const Tally &tally) const;
+    AdmissionTally &tallyOf(const base::WorkspaceId &workspace);
+    void countAdmitted(const base::WorkspaceId &workspace, const base::VmId &home);
+    void logTallies();
+    void logTally(const base::WorkspaceId &workspace, const AdmissionTally &tally) const;
 
-    const BrokerSelf m_self;
+    const NodeIdentity m_self;
     const base::Clock &m_clock;
     const PoolSettings m_settings;
     config::ConfigurationPtr m_configuration;
     std::vector<base::VmId> m_vms; ///< Not leaving, sorted.
     mutable std::unordered_map<base::WorkspaceId, std::vector<base::VmId>> m_homes; ///< Of `m_vms`, once asked for.
     std::uint64_t m_listVersion = 0;
-    base::TimePoint m_listChanged; ///< Pools that are new since then begin nearly empty.
+    base::TimePoint m_listChangedAt; ///< Pools that are new since then begin nearly empty.
     std::unordered_map<base::WorkspaceId, Pool> m_pools;
     std::unordered_map<base::WorkspaceId, Entry> m_entries;
-    std::map<std::uint64_t, Wish> m_wishes; ///< By number, so by age.
-    std::map<base::VmId, base::TimePoint> m_suspects; ///< Until when.
+    std::map<std::uint64_t, PendingAsk> m_pendingAsks; ///< By number, so by age.
+    std::map<base::VmId, base::TimePoint> m_suspectedUntil; ///< Until when.
     std::map<base::VmId, base::TimePoint> m_silentSince; ///< Homes that did not answer, until heard of again.
-    std::map<base::VmId, base::TimePoint> m_heard; ///< When a node last sent anything about rates.
+    std::map<base::VmId, base::TimePoint> m_lastReceivedAt; ///< When a node last sent anything about rates.
     std::map<base::VmId, Probe> m_probes;
-    std::size_t m_nextProbed = 0; ///< Place in `m_vms`.
-    base::TimePoint m_lastRound; ///< When nodes were last asked for signs of life.
-    std::map<base::VmId, base::TimePoint> m_left; ///< When VMs went off the list.
-    std::map<base::VmId, PoolAsk> m_asks; ///< To be sent.
-    std::map<std::pair<base::VmId, base::Incarnation>, PoolGrant> m_grants; ///< To be sent.
-    std::map<base::WorkspaceId, Tally> m_tallies; ///< Not yet written down.
+    std::size_t m_lastProbedIndex = 0; ///< Place in `m_vms`.
+    base::TimePoint m_lastProbeRoundAt; ///< When nodes were last asked for signs of life.
+    std::map<base::VmId, base::TimePoint> m_removedAt; ///< When VMs went off the list.
+    std::map<base::VmId, PoolAsk> m_outgoingAsks; ///< To be sent.
+    std::map<std::pair<base::VmId, base::Incarnation>, PoolGrant> m_outgoingGrants; ///< To be sent.
+    std::map<base::WorkspaceId, AdmissionTally> m_tallies; ///< Not yet written down.
     std::vector<AdmissionDecision> m_decisions;
-    BrokerCounters m_counters;
+    LimiterCounters m_counters;
     std::uint64_t m_lastAsk = 0;
     bool m_draining = false;
 };
--- a/src/include/papayastep/limits/ratelimiter.h
+++ b/src/include/papayastep/limits/ratelimiter.h
@@ -13,7 +13,7 @@
 namespace papayastep::limits {
 
 /// Who this node is.
-struct BrokerSelf
+struct NodeIdentity
 {
     base::VmId vm;
     base::ZoneId zone;
@@ -36,8 +36,8 @@
 {
     base::ResultCode code = base::ResultCode::RateExceeded;
     base::Duration retryAfter{}; ///< When a token is expected.
-    base::VmId by{}; ///< Who holds the tokens and decided, where that is known.
-    bool silent = false; ///< Nobody who holds tokens answered in time, so this node decided alone.
+    base::VmId decidedBy{}; ///< Who holds the tokens and decided, where that is known.
+    bool unanswered = false; ///< Nobody who holds tokens answered in time, so this node decided alone.
 };
 
 using Admission = std::variant<Admitted, Waiting, Refused>;
@@ -73,12 +73,12 @@
 };
 
 /// Totals since the start, for metrics.
-struct BrokerCounters
+struct LimiterCounters
 {
     std::uint64_t admitted = 0;
     std::uint64_t admittedWaiting = 0; ///< Of these, after a wait for a holder.
     std::uint64_t refused = 0;
-    std::uint64_t refusedSilent = 0; ///< Of these, because no holder answered in time.
+    std::uint64_t refusedUnanswered = 0; ///< Of these, because no holder answered in time.
     std::uint64_t givenBack = 0;
     std::uint64_t asksSent = 0;
     std::uint64_t grantsMade = 0;
@@ -86,7 +86,7 @@
     double tokensGranted
         = 0; ///< Whole tokens in these grants, to this node's own requests too where it holds the share.
     double tokensLent = 0; ///< Whole tokens in these loans.
-    std::uint64_t admittedAlone = 0; ///< Of the admitted, without a word of any holder.
+    std::uint64_t admittedLocally = 0; ///< Of the admitted, without a word of any holder.
     std::uint64_t returnsReceived = 0;
     std::uint64_t messagesSent = 0;
     std::uint64_t messagesIgnored = 0; ///< Late, repeated, from a stranger, or malformed.
@@ -143,13 +143,13 @@
     virtual std::vector<AdmissionDecision> takeDecisions() = 0;
 
     /// Whether this node can do its part. False for some seconds after a start, where that needs time.
-    virtual bool isSettled() const = 0;
+    virtual bool isReady() const = 0;
 
     /// Whether a repeat on another backend server pays a token of its own.
     virtual bool chargesRepeats() const = 0;
 
     virtual WorkspaceStatus status(const base::WorkspaceId &workspace) const = 0;
-    virtual const BrokerCounters &counters() const = 0;
+    virtual const LimiterCounters &counters() const = 0;
 
     /// Workspaces that have any state here.
     virtual std::size_t activeWorkspaces() const = 0;
--- a/src/include/papayastep/limits/runtimes.h
+++ b/src/include/papayastep/limits/runtimes.h
@@ -18,7 +18,7 @@
     /// `firstGuess`: taken before the first run.
     explicit RunTimes(base::Duration firstGuess);
 
-    void note(const base::RouteId &route, base::Duration run);
+    void record(const base::RouteId &route, base::Duration run);
 
     /// Over all routes, as they come.
     base::Duration mean() const;
@@ -36,10 +36,10 @@
         base::Duration value{0};
         std::size_t runs = 0;
 
-        void note(base::Duration run);
+        void record(base::Duration run);
     };
 
-    base::Duration m_firstGuess;
+    base::Duration m_initialEstimate;
     Mean m_all;
     std::map<base::RouteId, Mean> m_routes;
 };
--- a/src/include/papayastep/limits/slotqueue.h
+++ b/src/include/papayastep/limits/slotqueue.h
@@ -28,24 +28,24 @@
 {
     std::size_t maxQueued = 256; ///< Over all workspaces.
     std::size_t maxQueuedPerWorkspace = 64;
-    base::Duration expectedRun = std::chrono::milliseconds(50); ///< First guess of how long an attempt runs.
+    base::Duration initialRunTime = std::chrono::milliseconds(50); ///< First guess of how long an attempt runs.
 
     /// How much of a usual run must fit between start and deadline. With 0 an attempt may start at its deadline.
-    double roomForRun = 0;
+    double runTimeReserve = 0;
 
     /// How far beyond the moment at which an answer is wanted, as a share of the time from there to the deadline, an
     /// answer may be expected and the attempt is still queued. A long queue makes every answer late without one more
     /// being given; a short one refuses in a burst what could still be served. 1: up to the deadline.
-    double lateness = 1;
+    double maxLateness = 1;
 
     /// Which part of the time that is left beside a usual run may be expected to pass in the queue. With all of it, an
     /// attempt that is overtaken by a more urgent one, or meets a long run, has waited for nothing, and every answer of
     /// an overload comes at the last moment. Slots are as busy with a short queue as with a long one. 1: all.
-    double slackForWaiting = 1;
+    double maxWaitFraction = 1;
 
     /// Of what a more urgent tier gets, the next one gets this part while both wait. Above 0, since a kind of request
     /// that is never served helps nobody; small, since the more urgent one should not suffer first.
-    double nextTierShare = 0.25;
+    double nextTierWeight = 0.25;
 };
 
 /// An attempt that asks for a slot.
@@ -55,7 +55,7 @@
     base::WorkspaceId workspace;
     base::TimePoint deadline;
     int priority = 0; ///< 0 is the most urgent.
-    std::optional<base::TimePoint> wanted; ///< An answer after it is worth less to the caller.
+    std::optional<base::TimePoint> wantedBy; ///< An answer after it is worth less to the caller.
     base::RouteId route{}; ///< By which its run time is judged.
     /// A call of a run that is at work elsewhere. It goes first and may wait until its deadline: refused, it takes with
     /// it what the run has done, and the run holds a slot until the call has its answer.
@@ -63,7 +63,7 @@
 };
 
 /// The answer to an offer. An accepted attempt gets a decision from poll(), perhaps at once.
-struct Verdict
+struct OfferResult
 {
     bool accepted = false;
     base::ResultCode code = base::ResultCode::Ok; ///< Why it was refused.
@@ -79,7 +79,7 @@
     base::Duration retryAfter{};
 };
 
-enum class CancelVerdict {
+enum class CancelOutcome {
     NeverStarted, ///< It was queued, and never will start.
     Started, ///< It occupies a slot.
     Unknown, ///< It is not here (any more).
@@ -97,16 +97,16 @@
 public:
     SlotQueue(const base::Clock &clock, int slots, SlotQueueSettings settings = {});
 
-    Verdict offer(const QueueOffer &offer);
+    OfferResult offer(const QueueOffer &offer);
 
     /// What offer() would say now, with the wait also where it would accept. Changes nothing.
-    Verdict quote(const QueueOffer &offer) const;
-    Verdict offer(const AttemptId &attempt, const base::WorkspaceId &workspace, base::TimePoint deadline);
+    OfferResult quote(const QueueOffer &offer) const;
+    OfferResult offer(const AttemptId &attempt, const base::WorkspaceId &workspace, base::TimePoint deadline);
 
     /// Decisions due now. Starting an attempt occupies a slot until finished().
     std::vector<QueueDecision> poll();
 
-    CancelVerdict cancel(const AttemptId &attempt);
+    CancelOutcome cancel(const AttemptId &attempt);
 
     /// The attempt has left its slot. Ignored for one that has none. `usual`: its run time tells how long runs take. A
     /// server that fails at once would else look fast, and all that waits for it soon served.
@@ -139,10 +139,10 @@
     };
     struct Running
     {
-        base::TimePoint since;
+        base::TimePoint startedAt;
         base::RouteId route;
     };
-    struct Lane
+    struct WorkspaceQueue
     {
         base::WorkspaceId workspace;
         std::deque<Queued> attempts;
@@ -150,28 +150,28 @@
     /// The attempts of one priority: workspaces in the order of their turns.
     struct Tier
     {
-        std::list<Lane> lanes;
+        std::list<WorkspaceQueue> queues;
         std::size_t size = 0;
         double pass = 0; ///< Rises with each start; the tier with the smallest goes next (stride scheduling).
     };
     using Tiers = std::map<int, Tier>;
-    struct Place
+    struct QueuedPosition
     {
         int priority = 0;
         base::WorkspaceId workspace;
     };
 
-    static std::list<Lane>::iterator laneOf(Tier &tier, const base::WorkspaceId &workspace);
-    std::size_t queuedOf(const base::WorkspaceId &workspace, int priority) const;
+    static std::list<WorkspaceQueue>::iterator queueOf(Tier &tier, const base::WorkspaceId &workspace);
+    std::size_t queueLength(const base::WorkspaceId &workspace, int priority) const;
     double weight(int priority) const;
-    Verdict refusal(base::ResultCode code, const base::WorkspaceId &workspace, int priority) const;
+    OfferResult refusal(base::ResultCode code, const base::WorkspaceId &workspace, int priority) const;
     base::TimePoint latestStart(const QueueOffer &offer) const;
-    bool comesInTime(const QueueOffer &offer) const;
+    bool canAnswerInTime(const QueueOffer &offer) const;
     bool makeRoom(const base::WorkspaceId &workspace, int priority);
     void enqueue(const QueueOffer &offer);
     void dropOverdue(std::vector<QueueDecision> &decisions);
     void startNext(std::vector<QueueDecision> &decisions);
-    Tiers::iterator nextTier();
+    Tiers::iterator selectTier();
     bool removeQueued(const AttemptId &attempt);
     base::Duration waitBehind(std::size_t ahead) const;
 
@@ -180,12 +180,12 @@
     int m_slots;
     Tiers m_tiers; ///< Only those in which attempts wait.
     double m_pass = 0; ///< Of the tier that went last; a tier that comes begins there.
-    std::map<AttemptId, Place> m_queued;
+    std::map<AttemptId, QueuedPosition> m_queued;
     std::set<std::pair<base::TimePoint, AttemptId>> m_deadlines; ///< Latest starts.
     std::map<AttemptId, Running> m_running;
     std::vector<QueueDecision> m_evicted; ///< Pushed out by an offer, to be told by the next poll().
     RunTimes m_runTimes;
-    std::optional<base::TimePoint> m_lastEnd;
+    std::optional<base::TimePoint> m_lastFinishedAt;
 };
 
 }
--- a/src/include/papayastep/limits/tokenbroker.h
+++ b/src/include/papayastep/limits/tokenbroker.h
@@ -28,7 +28,7 @@
 class TokenBroker final : public RateLimiter
 {
 public:
-    TokenBroker(const BrokerSelf &self, const base::Clock &clock, BrokerSettings settings = {});
+    TokenBroker(const NodeIdentity &self, const base::Clock &clock, BrokerSettings settings = {});
     ~TokenBroker() override;
     TokenBroker(TokenBroker &&) noexcept;
     TokenBroker &operator=(TokenBroker &&) noexcept;
@@ -55,10 +55,10 @@
     std::vector<AdmissionDecision> takeDecisions() override;
     /// Whether the shares that the VM list gives to this VM are in its hands. False for some seconds after a start,
     /// while an earlier holder could still grant.
-    bool isSettled() const override;
+    bool isReady() const override;
     bool chargesRepeats() const override;
     WorkspaceStatus status(const base::WorkspaceId &workspace) const override;
-    const BrokerCounters &counters() const override;
+    const LimiterCounters &counters() const override;
     std::size_t activeWorkspaces() const override;
 
 private:
--- a/src/include/papayastep/limits/tokens.h
+++ b/src/include/papayastep/limits/tokens.h
@@ -34,7 +34,7 @@
     std::uint64_t source = 0; ///< Number of the grant or of the local spend within this broker.
     Tokens amount = 0;
     bool local = false; ///< Taken from a share that this node holds.
-    std::uint64_t serial = 0; ///< The how manieth spend of the grant it was.
+    std::uint64_t spendNumber = 0; ///< The how manieth spend of the grant it was.
 
     auto operator<=>(const TokenPart &) const = default;
 };
--- a/src/limits/brokercontext.cpp
+++ b/src/limits/brokercontext.cpp
@@ -12,7 +12,7 @@
 
 }
 
-BrokerContext::BrokerContext(const BrokerSelf &who, const base::Clock &time, const BrokerSettings &times)
+BrokerContext::BrokerContext(const NodeIdentity &who, const base::Clock &time, const BrokerSettings &times)
     : self(who)
     , clock(time)
     , settings(times)
@@ -28,7 +28,7 @@
     const ShareMap oldShares = std::exchange(shares, ShareMap(*newer));
     const config::ConfigurationPtr before = std::exchange(configuration, std::move(newer));
     if (before) {
-        noteChanges(*before, *configuration, oldShares);
+        recordChanges(*before, *configuration, oldShares);
     }
     ++m_topology;
     return true;
@@ -99,24 +99,24 @@
 
 void BrokerContext::suspect(const base::VmId &vm)
 {
-    m_suspects[vm] = clock.now() + suspicionTime;
+    m_suspectedUntil[vm] = clock.now() + suspicionTime;
 }
 
 void BrokerContext::clearSuspicion(const base::VmId &vm)
 {
-    m_suspects.erase(vm);
+    m_suspectedUntil.erase(vm);
 }
 
-bool BrokerContext::suspected(const base::VmId &vm) const
+bool BrokerContext::isSuspected(const base::VmId &vm) const
 {
-    const auto found = m_suspects.find(vm);
-    return found != m_suspects.end() && clock.now() < found->second;
+    const auto found = m_suspectedUntil.find(vm);
+    return found != m_suspectedUntil.end() && clock.now() < found->second;
 }
 
 /// Walks both sorted lists side by side: a change of configuration must not stall the node.
-void BrokerContext::noteChanges(const config::Configuration &before,
-                                const config::Configuration &after,
-                                const ShareMap &oldShares)
+void BrokerContext::recordChanges(const config::Configuration &before,
+                                  const config::Configuration &after,
+                                  const ShareMap &oldShares)
 {
     const base::TimePoint now = clock.now();
     const base::TimePoint longAgo = now - std::chrono::duration_cast<base::Duration>(remembered);
@@ -130,14 +130,14 @@
         if (next == after.workspaces().end() || next->id != old.id) {
             m_removed[old.id] = now;
         } else if (oldShares.zones() != shares.zones() || oldShares.shareCount(old) != shares.shareCount(*next)) {
-            noteGrowth(old, *next, oldShares);
+            recordGrowth(old, *next, oldShares);
         }
     }
 }
 
-void BrokerContext::noteGrowth(const config::Workspace &before,
-                               const config::Workspace &after,
-                               const ShareMap &oldShares)
+void BrokerContext::recordGrowth(const config::Workspace &before,
+                                 const config::Workspace &after,
+                                 const ShareMap &oldShares)
 {
     const double old = oldShares.fraction(before, self.zone);
     if (shares.fraction(after, self.zone) <= old) {
--- a/src/limits/brokercontext.h
+++ b/src/limits/brokercontext.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "outbox.h"
-#include "sharesites.h"
+#include "sharemap.h"
 #include "zonetenure.h"
 
 #include "papayastep/limits/tokenbroker.h"
@@ -16,7 +16,7 @@
 class BrokerContext
 {
 public:
-    BrokerContext(const BrokerSelf &self, const base::Clock &clock, const BrokerSettings &settings);
+    BrokerContext(const NodeIdentity &self, const base::Clock &clock, const BrokerSettings &settings);
 
     /// True if it is now in force.
     bool applyConfiguration(config::ConfigurationPtr configuration);
@@ -39,19 +39,19 @@
     /// A VM that did not answer is passed over for a while.
     void suspect(const base::VmId &vm);
     void clearSuspicion(const base::VmId &vm);
-    bool suspected(const base::VmId &vm) const;
+    bool isSuspected(const base::VmId &vm) const;
 
-    const BrokerSelf self;
+    const NodeIdentity self;
     const base::Clock &clock;
     const BrokerSettings settings;
-    BrokerCounters counters;
+    LimiterCounters counters;
     ZoneTenure tenure;
     Outbox outbox;
     std::vector<AdmissionDecision> decisions;
     config::ConfigurationPtr configuration;
     config::VmList list;
     ShareMap shares;
-    std::unordered_map<std::uint64_t, base::WorkspaceId> askOwners; ///< Pending asks -> for which workspace.
+    std::unordered_map<std::uint64_t, base::WorkspaceId> askWorkspaces; ///< Pending asks -> for which workspace.
     bool draining = false;
     std::uint64_t lastGrant = 0;
     std::uint64_t lastAsk = 0;
@@ -64,16 +64,16 @@
         base::TimePoint until;
     };
 
-    void noteChanges(const config::Configuration &before,
-                     const config::Configuration &after,
-                     const ShareMap &oldShares);
-    void noteGrowth(const config::Workspace &before, const config::Workspace &after, const ShareMap &oldShares);
+    void recordChanges(const config::Configuration &before,
+                       const config::Configuration &after,
+                       const ShareMap &oldShares);
+    void recordGrowth(const config::Workspace &before, const config::Workspace &after, const ShareMap &oldShares);
 
     std::uint64_t m_topology = 0;
     std::unordered_map<base::WorkspaceId, Growth> m_growths; ///< Kept for a day.
     std::unordered_map<base::WorkspaceId, base::TimePoint> m_removed; ///< When they were taken away. Kept for a day.
     std::optional<base::TimePoint> m_nextGrowth; ///< When terms change next.
-    std::map<base::VmId, base::TimePoint> m_suspects;
+    std::map<base::VmId, base::TimePoint> m_suspectedUntil;
 };
 
 }
--- a/src/limits/fleetbus.cpp
+++ b/src/limits/fleetbus.cpp
@@ -260,7 +260,7 @@
     node.incarnation = m_random();
     node.waiting.clear();
     node.nextTick = SimTime::max();
-    const BrokerSelf self{node.vm, node.zone, node.incarnation};
+    const NodeIdentity self{node.vm, node.zone, node.incarnation};
     node.broker = std::make_unique<TokenBroker>(self, node.clock, m_settings);
     node.broker->applyConfiguration(m_configuration);
     node.broker->applyVmList(m_list, node.clock.now());
--- a/src/limits/wallet.cpp
+++ b/src/limits/lotstore.cpp
@@ -1,17 +1,17 @@
-#include "wallet.h"
+#include "lotstore.h"
 
 #include <algorithm>
 
 namespace papayastep::limits {
 
-void Wallet::add(Lot lot)
+void LotStore::add(Lot lot)
 {
     const auto later = std::upper_bound(
         m_lots.begin(), m_lots.end(), lot, [](const Lot &a, const Lot &b) { return a.usableUntil < b.usableUntil; });
     m_lots.insert(later, std::move(lot));
 }
 
-Tokens Wallet::usable(base::TimePoint now) const
+Tokens LotStore::usable(base::TimePoint now) const
 {
     Tokens sum = 0;
     for (const Lot &lot : m_lots) {
@@ -20,7 +20,7 @@
     return sum;
 }
 
-Tokens Wallet::spend(Tokens amount, base::TimePoint now, std::vector<TokenPart> &parts, base::TimePoint &usableUntil)
+Tokens LotStore::spend(Tokens amount, base::TimePoint now, std::vector<TokenPart> &parts, base::TimePoint &usableUntil)
 {
     Tokens taken = 0;
     for (Lot &lot : m_lots) {
@@ -37,17 +37,17 @@
     return taken;
 }
 
-bool Wallet::giveBack(const TokenPart &part, base::TimePoint now)
+bool LotStore::giveBack(const TokenPart &part, base::TimePoint now)
 {
     Lot *lot = find(part.source);
-    if (lot == nullptr || now >= lot->usableUntil || part.serial <= lot->reportedSpends) {
+    if (lot == nullptr || now >= lot->usableUntil || part.spendNumber <= lot->reportedSpends) {
         return false;
     }
     lot->spent -= part.amount;
     return true;
 }
 
-std::optional<Sublease> Wallet::lend(std::uint64_t id, Tokens amount, base::TimePoint now)
+std::optional<Sublease> LotStore::lend(std::uint64_t id, Tokens amount, base::TimePoint now)
 {
     for (Lot &lot : m_lots) {
         const Tokens part = now < lot.usableUntil ? std::min(lot.remaining(), amount) : 0;
@@ -61,7 +61,7 @@
     return std::nullopt;
 }
 
-bool Wallet::report(std::uint64_t id, Tokens spent, Tokens unused, base::TimePoint now)
+bool LotStore::report(std::uint64_t id, Tokens spent, Tokens unused, base::TimePoint now)
 {
     const auto change = m_subleases.report(id, spent, unused);
     if (!change) {
@@ -75,7 +75,8 @@
     return true;
 }
 
-std::vector<std::pair<base::VmId, GrantUse>> Wallet::settle(const base::WorkspaceId &workspace, base::TimePoint now)
+std::vector<std::pair<base::VmId, GrantUse>> LotStore::takeDueReports(const base::WorkspaceId &workspace,
+                                                                      base::TimePoint now)
 {
     expireSubleases(now);
     std::erase_if(m_lots, [now](const Lot &lot) { return lot.usableUntil <= now; });
@@ -85,7 +86,7 @@
         if (idle) {
             lot.unused += lot.remaining();
         }
-        if (idle || lot.settleBy <= now) {
+        if (idle || lot.reportBy <= now) {
             due.emplace_back(lot.holder, reportOf(workspace, lot));
         }
     }
@@ -93,61 +94,61 @@
     return due;
 }
 
-std::vector<GrantUse> Wallet::rideAlong(const base::WorkspaceId &workspace, const base::VmId &holder)
+std::vector<GrantUse> LotStore::takeReportsFor(const base::WorkspaceId &workspace, const base::VmId &holder)
 {
     std::vector<GrantUse> uses;
     for (Lot &lot : m_lots) {
-        if (lot.holder == holder && lot.settleBy != base::TimePoint::max()) {
+        if (lot.holder == holder && lot.reportBy != base::TimePoint::max()) {
             uses.push_back(reportOf(workspace, lot));
         }
     }
     return uses;
 }
 
-base::TimePoint Wallet::nextDue() const
+base::TimePoint LotStore::nextDue() const
 {
     base::TimePoint due = m_subleases.nextExpiry();
     for (const Lot &lot : m_lots) {
-        due = std::min({due, lot.usableUntil, lot.settleBy});
+        due = std::min({due, lot.usableUntil, lot.reportBy});
         due = lot.remaining() > 0 ? std::min(due, lot.returnAt) : due;
     }
     return due;
 }
 
-bool Wallet::empty() const
+bool LotStore::empty() const
 {
     return m_lots.empty() && m_subleases.empty();
 }
 
-void Wallet::clear()
+void LotStore::clear()
 {
     m_lots.clear();
-    m_subleases = GrantBook();
+    m_subleases = GrantTable();
 }
 
-GrantUse Wallet::reportOf(const base::WorkspaceId &workspace, Lot &lot)
+GrantUse LotStore::reportOf(const base::WorkspaceId &workspace, Lot &lot)
 {
     lot.reportedSpent = lot.spent;
     lot.reportedSpends = lot.spends;
-    lot.settleBy = base::TimePoint::max();
-    return GrantUse{workspace, lot.holderIncarnation, lot.grant, lot.spent, lot.unused};
+    lot.reportBy = base::TimePoint::max();
+    return GrantUse{workspace, lot.holderIncarnation, lot.grantId, lot.spent, lot.unused};
 }
 
-void Wallet::markSpent(Lot &lot, base::TimePoint now)
+void LotStore::markSpent(Lot &lot, base::TimePoint now)
 {
-    if (lot.settleWithin > base::Duration::zero()) {
-        lot.settleBy = std::min(lot.settleBy, now + lot.settleWithin);
+    if (lot.reportWithin > base::Duration::zero()) {
+        lot.reportBy = std::min(lot.reportBy, now + lot.reportWithin);
     }
 }
 
-Lot *Wallet::find(std::uint64_t id)
+Lot *LotStore::find(std::uint64_t id)
 {
     const auto found = std::find_if(m_lots.begin(), m_lots.end(), [id](const Lot &lot) { return lot.id == id; });
     return found != m_lots.end() ? &*found : nullptr;
 }
 
 /// What was granted on and never reported may have been spent: it counts so.
-void Wallet::expireSubleases(base::TimePoint now)
+void LotStore::expireSubleases(base::TimePoint now)
 {
     while (const auto expired = m_subleases.takeExpired(now)) {
         if (Lot *lot = find(expired->lot)) {
--- a/src/limits/wallet.h
+++ b/src/limits/lotstore.h
@@ -15,7 +15,7 @@
     std::uint64_t id = 0; ///< Number within this broker.
     base::VmId holder;
     base::Incarnation holderIncarnation = 0;
-    std::uint64_t grant = 0;
+    std::uint64_t grantId = 0;
     Tokens amount = 0;
     Tokens spent = 0;
     Tokens unused = 0; ///< Returned.
@@ -25,8 +25,8 @@
     std::uint64_t reportedSpends = 0; ///< Up to which of them the holder knows.
     base::TimePoint usableUntil;
     base::TimePoint returnAt; ///< What is left then goes back.
-    base::Duration settleWithin{}; ///< 0: spending need not be reported.
-    base::TimePoint settleBy = base::TimePoint::max(); ///< When a report is due.
+    base::Duration reportWithin{}; ///< 0: spending need not be reported.
+    base::TimePoint reportBy = base::TimePoint::max(); ///< When a report is due.
 
     Tokens remaining() const
     {
@@ -43,7 +43,7 @@
 };
 
 /// All lots of one workspace.
-class Wallet
+class LotStore
 {
 public:
     void add(Lot lot);
@@ -65,9 +65,10 @@
     bool report(std::uint64_t id, Tokens spent, Tokens unused, base::TimePoint now);
 
     /// Removes what has expired, and returns the reports that are due, with the holder of each.
-    std::vector<std::pair<base::VmId, GrantUse>> settle(const base::WorkspaceId &workspace, base::TimePoint now);
+    std::vector<std::pair<base::VmId, GrantUse>> takeDueReports(const base::WorkspaceId &workspace,
+                                                                base::TimePoint now);
     /// Reports for `holder` that aren't due yet but can ride along with a message to it.
-    std::vector<GrantUse> rideAlong(const base::WorkspaceId &workspace, const base::VmId &holder);
+    std::vector<GrantUse> takeReportsFor(const base::WorkspaceId &workspace, const base::VmId &holder);
 
     /// When settle() has something to do; TimePoint::max() if never.
     base::TimePoint nextDue() const;
@@ -82,7 +83,7 @@
     void expireSubleases(base::TimePoint now);
 
     std::vector<Lot> m_lots; ///< Sorted by usableUntil.
-    GrantBook m_subleases;
+    GrantTable m_subleases;
 };
 
 }
--- a/src/limits/pooledlimiter.cpp
+++ b/src/limits/pooledlimiter.cpp
@@ -56,15 +56,15 @@
 
 void PooledLimiter::Bucket::refill(double rate, double burst, base::TimePoint now)
 {
-    level = std::min(burst, level + rate * seconds(now - updated));
-    updated = now;
+    level = std::min(burst, level + rate * seconds(now - updatedAt));
+    updatedAt = now;
 }
 
-PooledLimiter::PooledLimiter(BrokerSelf self, const base::Clock &clock, PoolSettings settings)
+PooledLimiter::PooledLimiter(NodeIdentity self, const base::Clock &clock, PoolSettings settings)
     : m_self(std::move(self))
     , m_clock(clock)
     , m_settings(settings)
-    , m_listChanged(clock.now())
+    , m_listChangedAt(clock.now())
 {
 }
 
@@ -72,8 +72,8 @@
 {
     m_configuration = std::move(configuration);
     m_homes.clear();
-    std::erase_if(m_pools, [&](const auto &entry) { return limited(entry.first) == nullptr; });
-    std::erase_if(m_entries, [&](const auto &entry) { return limited(entry.first) == nullptr; });
+    std::erase_if(m_pools, [&](const auto &entry) { return limitedWorkspace(entry.first) == nullptr; });
+    std::erase_if(m_entries, [&](const auto &entry) { return limitedWorkspace(entry.first) == nullptr; });
 }
 
 void PooledLimiter::applyVmList(const config::VmList &list, base::TimePoint)
@@ -90,70 +90,70 @@
     }
     std::sort(vms.begin(), vms.end());
     if (vms != m_vms) {
-        noteLeft(vms);
+        recordRemovedVms(vms);
         const auto isGone = [&](const auto &entry) { return !std::binary_search(vms.begin(), vms.end(), entry.first); };
         std::erase_if(m_silentSince, isGone);
-        std::erase_if(m_heard, isGone);
+        std::erase_if(m_lastReceivedAt, isGone);
         std::erase_if(m_probes, isGone);
         m_vms = std::move(vms);
         m_homes.clear();
-        m_listChanged = m_clock.now();
+        m_listChangedAt = m_clock.now();
     }
 }
 
-void PooledLimiter::noteLeft(const std::vector<base::VmId> &vms)
+void PooledLimiter::recordRemovedVms(const std::vector<base::VmId> &vms)
 {
     const base::TimePoint now = m_clock.now();
-    std::erase_if(m_left, [&](const auto &left) { return now - left.second > leftMemory; });
+    std::erase_if(m_removedAt, [&](const auto &left) { return now - left.second > leftMemory; });
     for (const base::VmId &vm : m_vms) {
         if (!std::binary_search(vms.begin(), vms.end(), vm)) {
-            m_left[vm] = now;
+            m_removedAt[vm] = now;
         }
     }
 }
 
 Admission PooledLimiter::acquire(const base::WorkspaceId &workspace, const base::RequestId &request, base::TimePoint)
 {
-    const config::Workspace *configured = limited(workspace);
+    const config::Workspace *configured = limitedWorkspace(workspace);
     if (configured == nullptr) {
         return Refused{base::ResultCode::KeyUnknown, {}};
     }
     Entry &entry = m_entries[workspace];
-    noteDemand(entry);
+    updateDemand(entry);
     if (entry.stock >= 1 && m_clock.now() < entry.stockUntil) {
         entry.stock -= 1;
         ++m_counters.admitted;
         ++tallyOf(workspace).stock;
-        return Admitted{tokenOf(workspace)};
+        return Admitted{makeToken(workspace)};
     }
     entry.stock = 0;
     const base::VmId home = reachableHome(workspace);
     if (home == m_self.vm && !m_draining) {
-        noteAsker(*configured, m_self.vm, m_self.incarnation, {});
+        recordAsker(*configured, m_self.vm, m_self.incarnation, {});
         if (takeFromPool(*configured, 1, 1) == 1) {
             ++m_counters.admitted;
-            tallyAdmitted(workspace, home);
+            countAdmitted(workspace, home);
             if (!isFirstHome(workspace)) {
-                noteElsewhere(workspace, 1);
+                addDebt(workspace, 1);
             }
-            return Admitted{tokenOf(workspace)};
+            return Admitted{makeToken(workspace)};
         }
         ++m_counters.refused;
         ++tallyOf(workspace).refused;
-        return Refused{base::ResultCode::RateExceeded, comeBackAfter(*configured), m_self.vm};
+        return Refused{base::ResultCode::RateExceeded, nextRetryAfter(*configured), m_self.vm};
     }
-    Wish wish;
+    PendingAsk wish;
     wish.workspace = workspace;
     wish.requests.push_back(request);
     const double ahead = entry.demand > demandForPrefetch ? entry.demand * seconds(m_settings.prefetch) : 0;
     wish.wanted = 1 + static_cast<std::uint32_t>(ahead);
-    ask(std::move(wish));
+    askNextHome(std::move(wish));
     return Waiting{};
 }
 
 void PooledLimiter::cancelWaiting(const base::RequestId &request)
 {
-    for (auto &[number, wish] : m_wishes) {
+    for (auto &[number, wish] : m_pendingAsks) {
         std::erase(wish.requests, request);
     }
 }
@@ -173,7 +173,7 @@
         // overload would gather more and more of them.
         kept.stock = 1;
         kept.stockUntil = m_clock.now() + m_settings.stockLifetime;
-    } else if (kept.stock < m_settings.mostGivenBack) {
+    } else if (kept.stock < m_settings.maxReturnedTokens) {
         kept.stock += 1;
     }
 }
@@ -183,10 +183,10 @@
                             wire::MessageKind kind,
                             std::string_view payload)
 {
-    m_suspects.erase(from);
+    m_suspectedUntil.erase(from);
     m_silentSince.erase(from);
     m_probes.erase(from);
-    m_heard[from] = m_clock.now();
+    m_lastReceivedAt[from] = m_clock.now();
     PoolAsk ask;
     PoolGrant grant;
     if (kind == wire::MessageKind::PoolAsk && decodeInto(ask, payload)) {
@@ -202,27 +202,27 @@
 void PooledLimiter::tick()
 {
     const base::TimePoint now = m_clock.now();
-    std::vector<Wish> overdue;
-    for (auto entry = m_wishes.begin(); entry != m_wishes.end();) {
+    std::vector<PendingAsk> overdue;
+    for (auto entry = m_pendingAsks.begin(); entry != m_pendingAsks.end();) {
         const auto current = entry++;
-        if (current->second.overdue <= now) {
+        if (current->second.timeoutAt <= now) {
             overdue.push_back(std::move(current->second));
-            m_wishes.erase(current);
+            m_pendingAsks.erase(current);
         }
     }
-    for (Wish &wish : overdue) {
-        passOver(wish.home);
-        ask(std::move(wish));
+    for (PendingAsk &wish : overdue) {
+        suspectHome(wish.home);
+        askNextHome(std::move(wish));
     }
-    std::erase_if(m_suspects, [now](const auto &suspect) { return suspect.second <= now; });
-    writeTallies();
+    std::erase_if(m_suspectedUntil, [now](const auto &suspect) { return suspect.second <= now; });
+    logTallies();
 }
 
 std::optional<base::TimePoint> PooledLimiter::nextTick() const
 {
     std::optional<base::TimePoint> next;
-    for (const auto &[number, wish] : m_wishes) {
-        next = std::min(next.value_or(wish.overdue), wish.overdue);
+    for (const auto &[number, wish] : m_pendingAsks) {
+        next = std::min(next.value_or(wish.timeoutAt), wish.timeoutAt);
     }
     for (const auto &[workspace, tally] : m_tallies) {
         const base::TimePoint due = tally.since + tallyInterval;
@@ -240,15 +240,15 @@
 std::vector<wire::Outgoing> PooledLimiter::takeMessages()
 {
     std::vector<wire::Outgoing> messages;
-    for (const auto &[home, ask] : m_asks) {
+    for (const auto &[home, ask] : m_outgoingAsks) {
         messages.push_back(wire::outgoing(home, wire::MessageKind::PoolAsk, ask));
     }
-    for (const auto &[asker, grant] : m_grants) {
+    for (const auto &[asker, grant] : m_outgoingGrants) {
         messages.push_back(wire::outgoing(asker.first, wire::MessageKind::PoolGrant, grant));
     }
     m_counters.messagesSent += messages.size();
-    m_asks.clear();
-    m_grants.clear();
+    m_outgoingAsks.clear();
+    m_outgoingGrants.clear();
     return messages;
 }
 
@@ -257,7 +257,7 @@
     return std::exchange(m_decisions, {});
 }
 
-bool PooledLimiter::isSettled() const
+bool PooledLimiter::isReady() const
 {
     return true;
 }
@@ -276,7 +276,7 @@
         status.entryTokens = entry->second.stock;
         status.demand = entry->second.demand;
     }
-    const config::Workspace *configured = limited(workspace);
+    const config::Workspace *configured = limitedWorkspace(workspace);
     if (configured != nullptr) {
         ShareStatus share;
         share.holder = reachableHome(workspace);
@@ -291,7 +291,7 @@
     return status;
 }
 
-const BrokerCounters &PooledLimiter::counters() const
+const LimiterCounters &PooledLimiter::counters() const
 {
     return m_counters;
 }
@@ -301,7 +301,7 @@
     return m_entries.size();
 }
 
-const config::Workspace *PooledLimiter::limited(const base::WorkspaceId &workspace) const
+const config::Workspace *PooledLimiter::limitedWorkspace(const base::WorkspaceId &workspace) const
 {
     const config::Workspace *configured = m_configuration ? m_configuration->workspace(workspace) : nullptr;
     return configured != nullptr && configured->isLimited() ? configured : nullptr;
@@ -313,19 +313,19 @@
 {
     const auto [place, isNew] = m_homes.try_emplace(workspace);
     if (isNew) {
-        place->second = weighHomes(workspace);
+        place->second = rankHomes(workspace);
     }
     return place->second;
 }
 
-std::vector<base::VmId> PooledLimiter::weighHomes(const base::WorkspaceId &workspace) const
+std::vector<base::VmId> PooledLimiter::rankHomes(const base::WorkspaceId &workspace) const
 {
     std::vector<std::pair<std::uint64_t, const base::VmId *>> weighed;
     weighed.reserve(m_vms.size());
     for (const base::VmId &vm : m_vms) {
         weighed.emplace_back(base::rendezvousWeight(workspace.value(), vm.value()), &vm);
     }
-    const std::size_t count = std::min(weighed.size(), static_cast<std::size_t>(m_settings.homesTried));
+    const std::size_t count = std::min(weighed.size(), static_cast<std::size_t>(m_settings.maxHomesTried));
     std::partial_sort(weighed.begin(),
                       weighed.begin() + static_cast<std::ptrdiff_t>(count),
                       weighed.end(),
@@ -350,13 +350,13 @@
 
 bool PooledLimiter::isSuspect(const base::VmId &vm) const
 {
-    const auto suspect = m_suspects.find(vm);
-    return suspect != m_suspects.end() && m_clock.now() < suspect->second;
+    const auto suspect = m_suspectedUntil.find(vm);
+    return suspect != m_suspectedUntil.end() && m_clock.now() < suspect->second;
 }
 
 /// An entry stands for an even part of the rate, and has it from one side only. A stand-in gives the parts of those who
 /// ask it; the home keeps back the parts of those that give no sign of life.
-double PooledLimiter::partOfRate(const config::Workspace &workspace, const Pool &pool) const
+double PooledLimiter::currentRateFraction(const config::Workspace &workspace, const Pool &pool) const
 {
     const base::TimePoint now = m_clock.now();
     const auto all = static_cast<double>(std::max<std::size_t>(1, m_vms.size()));
@@ -365,7 +365,7 @@
             = std::count_if(m_probes.begin(), m_probes.end(), [&](const auto &probe) { return isSilent(probe.first); });
         return std::max(0.0, 1 - static_cast<double>(silent) / all);
     }
-    const base::Duration memory = askerMemory(workspace);
+    const base::Duration memory = askerRetention(workspace);
     const auto asking = std::count_if(
         pool.askers.begin(), pool.askers.end(), [&](const auto &asker) { return now - asker.second.askedAt < memory; });
     return static_cast<double>(asking) / all;
@@ -374,14 +374,14 @@
 bool PooledLimiter::isSilent(const base::VmId &vm) const
 {
     const auto probe = m_probes.find(vm);
-    return probe != m_probes.end() && m_clock.now() - probe->second.first >= m_settings.probeInterval;
+    return probe != m_probes.end() && m_clock.now() - probe->second.firstSentAt >= m_settings.probeInterval;
 }
 
 /// Whether a node that comes before this one in the order of homes, or this one, went off the list after `since`.
-bool PooledLimiter::wasReplaced(const base::WorkspaceId &workspace, base::TimePoint since) const
+bool PooledLimiter::higherRankedVmRemoved(const base::WorkspaceId &workspace, base::TimePoint since) const
 {
     const std::uint64_t own = base::rendezvousWeight(workspace.value(), m_self.vm.value());
-    return std::any_of(m_left.begin(), m_left.end(), [&](const auto &left) {
+    return std::any_of(m_removedAt.begin(), m_removedAt.end(), [&](const auto &left) {
         return left.second >= since && base::rendezvousWeight(workspace.value(), left.first.value()) >= own;
     });
 }
@@ -395,11 +395,11 @@
 }
 
 /// A stand-in gives their parts to who asked it so lately. Where requests are rare, entries ask less often.
-base::Duration PooledLimiter::askerMemory(const config::Workspace &workspace) const
+base::Duration PooledLimiter::askerRetention(const config::Workspace &workspace) const
 {
     const double gap = static_cast<double>(m_vms.size()) / workspace.rate;
-    const double longest = seconds(m_settings.longestAskerMemory);
-    return std::max(durationOf(std::min(gapsRemembered * gap, longest)), m_settings.askerMemory);
+    const double longest = seconds(m_settings.maxAskerRetention);
+    return std::max(durationOf(std::min(gapsRemembered * gap, longest)), m_settings.askerRetention);
 }
 
 bool PooledLimiter::isFirstHome(const base::WorkspaceId &workspace) const
@@ -408,13 +408,13 @@
     return !homes.empty() && homes.front() == m_self.vm;
 }
 
-void PooledLimiter::noteDemand(Entry &entry)
+void PooledLimiter::updateDemand(Entry &entry)
 {
     const base::TimePoint now = m_clock.now();
-    const double passed = seconds(now - entry.demandUpdated);
+    const double passed = seconds(now - entry.demandUpdatedAt);
     const double kept = std::exp(-passed / demandMemory.count());
     entry.demand = entry.demand * kept + 1 / demandMemory.count();
-    entry.demandUpdated = now;
+    entry.demandUpdatedAt = now;
 }
 
 /// The pool with what has flown into it up to now.
@@ -427,90 +427,90 @@
         pool.bucket.level = workspace.burst;
     }
     const bool isHome = isFirstHome(workspace.id);
-    const bool newHome = isHome && (!pool.isHome || wasReplaced(workspace.id, pool.bucket.updated));
-    const bool newStandIn = !isHome && (pool.isHome || homeFellSilent(workspace.id, pool.bucket.updated));
+    const bool newHome = isHome && (!pool.isHome || higherRankedVmRemoved(workspace.id, pool.bucket.updatedAt));
+    const bool newStandIn = !isHome && (pool.isHome || homeFellSilent(workspace.id, pool.bucket.updatedAt));
     if (isNew || newHome || newStandIn) {
-        beginSpell(workspace, pool);
+        startServing(workspace, pool);
     }
-    if (isNew || now - pool.reviewed >= reviewInterval) {
-        review(workspace, pool);
+    if (isNew || now - pool.fractionUpdatedAt >= reviewInterval) {
+        updateRateFraction(workspace, pool);
     }
-    const double rate = workspace.rate * (1 + m_settings.rateExcess) * pool.part;
+    const double rate = workspace.rate * (1 + m_settings.rateExcess) * pool.rateFraction;
     pool.bucket.refill(rate, workspace.burst + m_settings.burstExcess, now);
     return pool;
 }
 
 /// This node begins to give for another: that may have given all of its pool out a moment ago. A pool that had filled
 /// up meanwhile, for nobody, would be given on top.
-void PooledLimiter::beginSpell(const config::Workspace &workspace, Pool &pool)
+void PooledLimiter::startServing(const config::Workspace &workspace, Pool &pool)
 {
     pool.isHome = isFirstHome(workspace.id);
-    pool.spellBegan = m_clock.now();
+    pool.servingSince = m_clock.now();
     pool.bucket.level = std::min(pool.bucket.level, workspace.burst * newPoolPart);
-    pool.bucket.updated = pool.isHome ? m_listChanged : m_clock.now();
+    pool.bucket.updatedAt = pool.isHome ? m_listChangedAt : m_clock.now();
 }
 
-void PooledLimiter::review(const config::Workspace &workspace, Pool &pool)
+void PooledLimiter::updateRateFraction(const config::Workspace &workspace, Pool &pool)
 {
     const base::TimePoint now = m_clock.now();
     std::erase_if(pool.askers, [&](const auto &asker) {
-        return now - asker.second.askedAt > m_settings.longestAskerMemory
+        return now - asker.second.askedAt > m_settings.maxAskerRetention
             || !std::binary_search(m_vms.begin(), m_vms.end(), asker.first);
     });
-    pool.part = partOfRate(workspace, pool);
-    pool.reviewed = now;
+    pool.rateFraction = currentRateFraction(workspace, pool);
+    pool.fractionUpdatedAt = now;
     if (pool.isHome) {
-        probeSilent();
+        probeSilentNodes();
     }
 }
 
 /// An entry that has no requests says nothing either; only one that doesn't answer can be cut off. In a large fleet the
 /// questions go round, a few at a time.
-void PooledLimiter::probeSilent()
+void PooledLimiter::probeSilentNodes()
 {
     const base::TimePoint now = m_clock.now();
-    if (now - m_lastRound < reviewInterval) {
+    if (now - m_lastProbeRoundAt < reviewInterval) {
         return;
     }
-    m_lastRound = now;
+    m_lastProbeRoundAt = now;
     std::size_t asked = 0;
     for (std::size_t step = 0; step < m_vms.size() && asked < probesAtOnce; ++step) {
-        m_nextProbed = (m_nextProbed + 1) % m_vms.size();
-        const base::VmId &vm = m_vms[m_nextProbed];
-        const auto heard = m_heard.find(vm);
-        const bool heardLately = heard != m_heard.end() && now - heard->second < m_settings.probeInterval;
+        m_lastProbedIndex = (m_lastProbedIndex + 1) % m_vms.size();
+        const base::VmId &vm = m_vms[m_lastProbedIndex];
+        const auto heard = m_lastReceivedAt.find(vm);
+        const bool heardLately = heard != m_lastReceivedAt.end() && now - heard->second < m_settings.probeInterval;
         if (vm == m_self.vm || heardLately) {
             continue;
         }
         const auto [place, isNew] = m_probes.try_emplace(vm, Probe{now, now});
-        if (!isNew && now - place->second.last < m_settings.probeInterval) {
+        if (!isNew && now - place->second.lastSentAt < m_settings.probeInterval) {
             continue;
         }
-        if (now - place->second.last > 2 * m_settings.probeInterval) {
-            place->second.first = now; // After a pause in which none was asked, an old question proves nothing.
+        if (now - place->second.lastSentAt > 2 * m_settings.probeInterval) {
+            place->second.firstSentAt = now; // After a pause in which none was asked, an old question proves nothing.
         }
-        place->second.last = now;
-        m_asks.try_emplace(vm);
+        place->second.lastSentAt = now;
+        m_outgoingAsks.try_emplace(vm);
         ++asked;
     }
 }
 
 /// An entry that finds the home silent asks with its next request; its part is due from when the spell began, or from
 /// when the pool ceased to count it.
-void PooledLimiter::creditNewcomer(const config::Workspace &workspace, Pool &pool, base::TimePoint since)
+void PooledLimiter::creditNewAsker(const config::Workspace &workspace, Pool &pool, base::TimePoint since)
 {
     const base::Duration late
-        = std::min<base::Duration>(m_clock.now() - std::max(since, pool.spellBegan), m_settings.askerMemory);
+        = std::min<base::Duration>(m_clock.now() - std::max(since, pool.servingSince), m_settings.askerRetention);
     const double part = workspace.rate / static_cast<double>(std::max<std::size_t>(1, m_vms.size()));
     pool.bucket.level = std::min(workspace.burst, pool.bucket.level + part * seconds(late));
 }
 
 /// Charges what `from` got elsewhere to the home's pool. The totals only rise, so a lost or repeated message changes
 /// nothing.
-void PooledLimiter::noteAsker(const config::Workspace &workspace,
-                              const base::VmId &from,
-                              base::Incarnation incarnation,
-                              const PoolWish &wish)
+void PooledLimiter::recordAsker(const config::Workspace &workspace,
+                                const base::VmId &from,
+                                base::Incarnation incarnation,
+                                const PoolTokenAsk &wish)
 {
     if (wish.relayed) {
         return;
@@ -518,25 +518,25 @@
     Pool &pool = poolOf(workspace);
     const auto [place, isNew] = pool.askers.try_emplace(from);
     Asker &asker = place->second;
-    const base::TimePoint countedUntil = isNew ? pool.spellBegan : asker.askedAt + askerMemory(workspace);
+    const base::TimePoint countedUntil = isNew ? pool.servingSince : asker.askedAt + askerRetention(workspace);
     if (!pool.isHome && countedUntil < m_clock.now()) {
-        creditNewcomer(workspace, pool, countedUntil);
+        creditNewAsker(workspace, pool, countedUntil);
     }
     asker.askedAt = m_clock.now();
     if (asker.incarnation != incarnation) {
         asker.incarnation = incarnation;
         asker.charged = 0;
     }
-    const std::uint64_t known = std::max(asker.charged, wish.settled);
-    if (pool.isHome && wish.elsewhere > known) {
-        const double lowest = std::min(pool.bucket.level, -workspace.burst * m_settings.deepestDebt);
-        const auto charge = static_cast<double>(wish.elsewhere - known);
+    const std::uint64_t known = std::max(asker.charged, wish.settledElsewhere);
+    if (pool.isHome && wish.grantedElsewhere > known) {
+        const double lowest = std::min(pool.bucket.level, -workspace.burst * m_settings.maxDebtBursts);
+        const auto charge = static_cast<double>(wish.grantedElsewhere - known);
         pool.bucket.level = std::max(lowest, pool.bucket.level - charge);
-        asker.charged = wish.elsewhere;
+        asker.charged = wish.grantedElsewhere;
     }
 }
 
-void PooledLimiter::noteElsewhere(const base::WorkspaceId &workspace, std::uint32_t tokens)
+void PooledLimiter::addDebt(const base::WorkspaceId &workspace, std::uint32_t tokens)
 {
     currentDebt(workspace).total += tokens;
 }
@@ -546,11 +546,11 @@
 {
     Debt &debt = m_entries[workspace].debt;
     const base::TimePoint now = m_clock.now();
-    if (now - debt.mark >= m_settings.debtMemory) {
-        const bool isOld = now - debt.mark >= 2 * m_settings.debtMemory;
-        debt.settled = std::max(debt.settled, isOld ? debt.total : debt.atMark);
-        debt.atMark = debt.total;
-        debt.mark = now;
+    if (now - debt.markedAt >= m_settings.debtRetention) {
+        const bool isOld = now - debt.markedAt >= 2 * m_settings.debtRetention;
+        debt.settled = std::max(debt.settled, isOld ? debt.total : debt.totalAtMark);
+        debt.totalAtMark = debt.total;
+        debt.markedAt = now;
     }
     return debt;
 }
@@ -572,31 +572,31 @@
 }
 
 /// Those who are refused are told different times, one token apart, so that each finds one when it comes back.
-base::Duration PooledLimiter::comeBackAfter(const config::Workspace &workspace)
+base::Duration PooledLimiter::nextRetryAfter(const config::Workspace &workspace)
 {
     const base::TimePoint now = m_clock.now();
     Pool &pool = m_pools[workspace.id];
-    pool.promisedUntil = std::max(pool.promisedUntil, now) + durationOf(1 / workspace.rate);
-    return std::clamp(pool.promisedUntil - now, shortestRetryAfter, longestRetryAfter);
+    pool.lastRetryTime = std::max(pool.lastRetryTime, now) + durationOf(1 / workspace.rate);
+    return std::clamp(pool.lastRetryTime - now, shortestRetryAfter, longestRetryAfter);
 }
 
-bool PooledLimiter::takeAlone(const config::Workspace &workspace, Entry &entry)
+bool PooledLimiter::takeLocally(const config::Workspace &workspace, Entry &entry)
 {
     const base::TimePoint now = m_clock.now();
     const double rate = workspace.rate / static_cast<double>(std::max<std::size_t>(1, m_vms.size()));
-    if (!entry.aloneUsed) {
-        entry.aloneUsed = true;
-        entry.alone = Bucket{m_settings.aloneBurst, now};
+    if (!entry.localBucketUsed) {
+        entry.localBucketUsed = true;
+        entry.localBucket = Bucket{m_settings.localBurst, now};
     }
-    entry.alone.refill(rate, m_settings.aloneBurst, now);
-    if (entry.alone.level < 1) {
+    entry.localBucket.refill(rate, m_settings.localBurst, now);
+    if (entry.localBucket.level < 1) {
         return false;
     }
-    entry.alone.level -= 1;
+    entry.localBucket.level -= 1;
     return true;
 }
 
-Token PooledLimiter::tokenOf(const base::WorkspaceId &workspace) const
+Token PooledLimiter::makeToken(const base::WorkspaceId &workspace) const
 {
     Token token;
     token.workspace = workspace;
@@ -605,102 +605,103 @@
 }
 
 /// Asks the next home that is not suspected, or decides alone where there is none.
-void PooledLimiter::ask(Wish wish)
+void PooledLimiter::askNextHome(PendingAsk wish)
 {
     const base::VmId home = reachableHome(wish.workspace);
-    const config::Workspace *configured = limited(wish.workspace);
-    if (configured == nullptr || home.empty() || wish.homesTried >= m_settings.homesTried) {
-        decideAlone(wish);
+    const config::Workspace *configured = limitedWorkspace(wish.workspace);
+    if (configured == nullptr || home.empty() || wish.homesTried >= m_settings.maxHomesTried) {
+        decideLocally(wish);
         return;
     }
     const auto urgent = wish.asker.empty() ? static_cast<std::uint32_t>(wish.requests.size()) : wish.askerUrgent;
     if (home == m_self.vm) {
         if (wish.asker.empty()) {
-            noteAsker(*configured, m_self.vm, m_self.incarnation, {});
+            recordAsker(*configured, m_self.vm, m_self.incarnation, {});
         }
         const std::uint32_t granted = m_draining ? 0 : takeFromPool(*configured, urgent, wish.wanted);
-        const base::Duration retryAfter = granted < urgent ? comeBackAfter(*configured) : base::Duration::zero();
-        settle(wish, granted, retryAfter, isFirstHome(wish.workspace));
+        const base::Duration retryAfter = granted < urgent ? nextRetryAfter(*configured) : base::Duration::zero();
+        completeAsk(wish, granted, retryAfter, isFirstHome(wish.workspace));
         return;
     }
     const std::uint64_t number = ++m_lastAsk;
     wish.home = home;
     ++wish.homesTried;
     // A stand-in asks the home itself before it answers, which takes a timeout of its own.
-    wish.overdue = m_clock.now() + m_settings.askTimeout * wish.homesTried;
-    PoolWish message;
+    wish.timeoutAt = m_clock.now() + m_settings.askTimeout * wish.homesTried;
+    PoolTokenAsk message;
     message.workspace = wish.workspace;
-    message.ask = number;
+    message.askId = number;
     message.urgent = urgent;
     message.wanted = wish.wanted;
     message.relayed = !wish.asker.empty();
     if (!message.relayed) {
         const Debt &debt = currentDebt(wish.workspace);
-        message.elsewhere = debt.total;
-        message.settled = debt.settled;
-        wish.elsewhere = debt.total;
+        message.grantedElsewhere = debt.total;
+        message.settledElsewhere = debt.settled;
+        wish.reportedDebt = debt.total;
     }
-    m_asks[home].wishes.push_back(std::move(message));
+    m_outgoingAsks[home].asks.push_back(std::move(message));
     ++m_counters.asksSent;
-    m_wishes.emplace(number, std::move(wish));
+    m_pendingAsks.emplace(number, std::move(wish));
 }
 
-void PooledLimiter::answer(const base::VmId &to, base::Incarnation incarnation, const PoolAnswer &answer)
+void PooledLimiter::queueAnswer(const base::VmId &to, base::Incarnation incarnation, const PoolAnswer &answer)
 {
-    PoolGrant &grant = m_grants[{to, incarnation}];
+    PoolGrant &grant = m_outgoingGrants[{to, incarnation}];
     grant.asker = incarnation;
     grant.answers.push_back(answer);
 }
 
-void PooledLimiter::decideAlone(const Wish &wish)
+void PooledLimiter::decideLocally(const PendingAsk &wish)
 {
     if (!wish.asker.empty()) {
-        answer(wish.asker, wish.askerIncarnation, PoolAnswer{wish.askerAsk, false, 0, 0, false});
+        queueAnswer(wish.asker, wish.askerIncarnation, PoolAnswer{wish.askerAskId, false, 0, 0, false});
         return;
     }
-    const config::Workspace *configured = limited(wish.workspace);
+    const config::Workspace *configured = limitedWorkspace(wish.workspace);
     for (const base::RequestId &request : wish.requests) {
         if (configured == nullptr) {
             m_decisions.push_back({request, Refused{base::ResultCode::KeyUnknown, {}}});
-        } else if (takeAlone(*configured, m_entries[wish.workspace])) {
+        } else if (takeLocally(*configured, m_entries[wish.workspace])) {
             ++m_counters.admitted;
             ++m_counters.admittedWaiting;
-            ++m_counters.admittedAlone;
+            ++m_counters.admittedLocally;
             ++tallyOf(wish.workspace).alone;
-            noteElsewhere(wish.workspace, 1);
-            m_decisions.push_back({request, Admitted{tokenOf(wish.workspace)}});
+            addDebt(wish.workspace, 1);
+            m_decisions.push_back({request, Admitted{makeToken(wish.workspace)}});
         } else {
             ++m_counters.refused;
-            ++m_counters.refusedSilent;
+            ++m_counters.refusedUnanswered;
             ++tallyOf(wish.workspace).refused;
-            m_decisions.push_back({request, Refused{base::ResultCode::RateExceeded, m_settings.suspicion, {}, true}});
+            m_decisions.push_back(
+                {request, Refused{base::ResultCode::RateExceeded, m_settings.suspicionTime, {}, true}});
         }
     }
 }
 
 /// `ofHome`: the tokens come out of the home's pool, by whatever way.
-void PooledLimiter::settle(const Wish &wish, std::uint32_t granted, base::Duration retryAfter, bool ofHome)
+void PooledLimiter::completeAsk(const PendingAsk &wish, std::uint32_t granted, base::Duration retryAfter, bool ofHome)
 {
     if (!wish.asker.empty()) {
         const auto milliseconds = std::chrono::ceil<std::chrono::milliseconds>(retryAfter).count();
-        answer(wish.asker,
-               wish.askerIncarnation,
-               PoolAnswer{wish.askerAsk, true, granted, static_cast<std::uint32_t>(milliseconds), !ofHome});
+        queueAnswer(wish.asker,
+                    wish.askerIncarnation,
+                    PoolAnswer{wish.askerAskId, true, granted, static_cast<std::uint32_t>(milliseconds), !ofHome});
         return;
     }
     if (!ofHome) {
-        noteElsewhere(wish.workspace, granted);
+        addDebt(wish.workspace, granted);
     } else if (const auto &homes = homesOf(wish.workspace); !homes.empty() && homes.front() == wish.home) {
         Debt &debt = currentDebt(wish.workspace);
-        debt.settled = std::max(debt.settled, wish.elsewhere);
+        debt.settled = std::max(debt.settled, wish.reportedDebt);
     }
     for (const base::RequestId &request : wish.requests) {
         if (granted > 0) {
             --granted;
             ++m_counters.admitted;
             ++m_counters.admittedWaiting;
-            tallyAdmitted(wish.workspace, wish.home);
-            m_decisions.push_back({request, Admitted{tokenOf(wish.workspace)}});
+            countAdmitted(wish.workspace, wish.home);
+            m_decisions.push_back({request, Admitted{makeToken(wish.workspace)}});
         } else {
             ++m_counters.refused;
             ++tallyOf(wish.workspace).refused;
@@ -718,34 +719,34 @@
 /// An ask without wishes wants a sign of life.
 void PooledLimiter::receiveAsk(const base::VmId &from, base::Incarnation incarnation, const PoolAsk &ask)
 {
-    if (ask.wishes.empty()) {
-        m_grants[{from, incarnation}].asker = incarnation;
+    if (ask.asks.empty()) {
+        m_outgoingGrants[{from, incarnation}].asker = incarnation;
     }
-    for (const PoolWish &wish : ask.wishes) {
-        receiveWish(from, incarnation, wish);
+    for (const PoolTokenAsk &wish : ask.asks) {
+        receiveTokenAsk(from, incarnation, wish);
     }
 }
 
 /// Answers out of the own pool, or passes the wish on to the home that this node can reach: who asked here may have a
 /// broken path to it, or an older VM list.
-void PooledLimiter::receiveWish(const base::VmId &from, base::Incarnation incarnation, const PoolWish &message)
+void PooledLimiter::receiveTokenAsk(const base::VmId &from, base::Incarnation incarnation, const PoolTokenAsk &message)
 {
-    Wish wish;
+    PendingAsk wish;
     wish.workspace = message.workspace;
     wish.wanted = message.wanted;
     wish.asker = from;
     wish.askerIncarnation = incarnation;
-    wish.askerAsk = message.ask;
+    wish.askerAskId = message.askId;
     wish.askerUrgent = message.urgent;
     const bool passOn = reachableHome(message.workspace) != m_self.vm;
-    if (limited(message.workspace) == nullptr || m_draining || (passOn && message.relayed)) {
-        answer(from, incarnation, PoolAnswer{message.ask, false, 0, 0, false});
+    if (limitedWorkspace(message.workspace) == nullptr || m_draining || (passOn && message.relayed)) {
+        queueAnswer(from, incarnation, PoolAnswer{message.askId, false, 0, 0, false});
         return;
     }
     if (!passOn) {
-        noteAsker(*limited(message.workspace), from, incarnation, message);
+        recordAsker(*limitedWorkspace(message.workspace), from, incarnation, message);
     }
-    ask(std::move(wish));
+    askNextHome(std::move(wish));
 }
 
 void PooledLimiter::receiveGrant(const base::VmId &from, const PoolGrant &grant)
@@ -755,35 +756,35 @@
         return;
     }
     for (const PoolAnswer &answered : grant.answers) {
-        const auto found = m_wishes.find(answered.ask);
-        if (found == m_wishes.end()) {
+        const auto found = m_pendingAsks.find(answered.askId);
+        if (found == m_pendingAsks.end()) {
             ++m_counters.messagesIgnored; // Late: the wish was decided without it, and these tokens are lost.
             continue;
         }
-        Wish wish = std::move(found->second);
-        m_wishes.erase(found);
-        if (answered.known) {
-            settle(wish, answered.granted, std::chrono::milliseconds(answered.retryAfterMs), !answered.standIn);
+        PendingAsk wish = std::move(found->second);
+        m_pendingAsks.erase(found);
+        if (answered.decided) {
+            completeAsk(wish, answered.granted, std::chrono::milliseconds(answered.retryAfterMs), !answered.standIn);
         } else {
-            passOver(from);
-            ask(std::move(wish));
+            suspectHome(from);
+            askNextHome(std::move(wish));
         }
     }
 }
 
-void PooledLimiter::passOver(const base::VmId &home)
+void PooledLimiter::suspectHome(const base::VmId &home)
 {
     if (!isSuspect(home)) {
         PAPAYASTEP_LOG(WARNING, logPrefix)
             << "Passing over a node that holds workspaces' rates." << base::field("vm", home)
             << base::field("forMs",
-                           std::chrono::duration_cast<std::chrono::milliseconds>(m_settings.suspicion).count());
+                           std::chrono::duration_cast<std::chrono::milliseconds>(m_settings.suspicionTime).count());
     }
-    m_suspects[home] = m_clock.now() + m_settings.suspicion;
+    m_suspectedUntil[home] = m_clock.now() + m_settings.suspicionTime;
     m_silentSince.try_emplace(home, m_clock.now());
 }
 
-PooledLimiter::Tally &PooledLimiter::tallyOf(const base::WorkspaceId &workspace)
+PooledLimiter::AdmissionTally &PooledLimiter::tallyOf(const base::WorkspaceId &workspace)
 {
     const auto [place, isNew] = m_tallies.try_emplace(workspace);
     if (isNew) {
@@ -793,7 +794,7 @@
 }
 
 /// `home`: whose answer admitted the request; this node itself where that is empty.
-void PooledLimiter::tallyAdmitted(const base::WorkspaceId &workspace, const base::VmId &home)
+void PooledLimiter::countAdmitted(const base::WorkspaceId &workspace, const base::VmId &home)
 {
     const std::vector<base::VmId> &homes = homesOf(workspace);
     const base::VmId &giver = home.empty() ? m_self.vm : home;
@@ -802,24 +803,24 @@
 }
 
 /// Says once a second who admitted by whose tokens, where it was not all by the home's.
-void PooledLimiter::writeTallies()
+void PooledLimiter::logTallies()
 {
     const base::TimePoint now = m_clock.now();
     for (auto entry = m_tallies.begin(); entry != m_tallies.end();) {
         const auto current = entry++;
-        const Tally &tally = current->second;
+        const AdmissionTally &tally = current->second;
         if (now - tally.since < tallyInterval) {
             continue;
         }
         const bool byOthers = tally.standIn > 0 || tally.alone > 0;
         if (byOthers || (tally.granted > 0 && !isFirstHome(current->first))) {
-            writeTally(current->first, tally);
+            logTally(current->first, tally);
         }
         m_tallies.erase(current);
     }
 }
 
-void PooledLimiter::writeTally(const base::WorkspaceId &workspace, const Tally &tally) const
+void PooledLimiter::logTally(const base::WorkspaceId &workspace, const AdmissionTally &tally) const
 {
     const std::vector<base::VmId> &homes = homesOf(workspace);
     const auto pool = m_pools.find(workspace);
@@ -830,7 +831,7 @@
                                     << base::field("givenBack", tally.givenBack)
                                     << base::field("granted", tally.granted) << base::field("vms", m_vms.size())
                                     << base::field("homeVm", homes.empty() ? base::VmId() : homes.front())
-                                    << base::field("part", pool == m_pools.end() ? 0 : pool->second.part);
+                                    << base::field("part", pool == m_pools.end() ? 0 : pool->second.rateFraction);
 }
 
 }
--- a/src/limits/pooledlimiter_test.cpp
+++ b/src/limits/pooledlimiter_test.cpp
@@ -55,7 +55,7 @@
     {
         incarnations[node] = ++lastIncarnation;
         limiters[node]
-            = std::make_unique<PooledLimiter>(BrokerSelf{vm(node), base::ZoneId("zone"), incarnations[node]}, clock);
+            = std::make_unique<PooledLimiter>(NodeIdentity{vm(node), base::ZoneId("zone"), incarnations[node]}, clock);
         limiters[node]->applyConfiguration(configuration(rate));
         limiters[node]->applyVmList(list(listVersion), clock.now());
     }
@@ -223,14 +223,14 @@
         return total;
     };
     play(10s, rate / 1.6);
-    BOOST_TEST(sum(&BrokerCounters::admittedAlone) == 0U);
-    BOOST_TEST(sum(&BrokerCounters::admitted) == admitted.size());
-    BOOST_TEST(sum(&BrokerCounters::tokensGranted) >= admitted.size());
+    BOOST_TEST(sum(&LimiterCounters::admittedLocally) == 0U);
+    BOOST_TEST(sum(&LimiterCounters::admitted) == admitted.size());
+    BOOST_TEST(sum(&LimiterCounters::tokensGranted) >= admitted.size());
 
     const int away = home() == 0 ? 1 : 0;
     cut.insert(away);
     play(10s, rate / 1.6);
-    BOOST_TEST(limiters[static_cast<std::size_t>(away)]->counters().admittedAlone > 0U);
+    BOOST_TEST(limiters[static_cast<std::size_t>(away)]->counters().admittedLocally > 0U);
 }
 
 // A request is refused though its workspace was inside its rate. The users' engineer must see whether the workspace's
@@ -257,12 +257,12 @@
     };
     const Refused byHome = refusalAt(home());
     BOOST_TEST((byHome.code == base::ResultCode::RateExceeded));
-    BOOST_TEST(byHome.by == vm(home()));
-    BOOST_TEST(!byHome.silent);
+    BOOST_TEST(byHome.decidedBy == vm(home()));
+    BOOST_TEST(!byHome.unanswered);
     const Refused alone = refusalAt(home() == 0 ? 1 : 0);
     BOOST_TEST((alone.code == base::ResultCode::RateExceeded));
-    BOOST_TEST(alone.by.empty());
-    BOOST_TEST(alone.silent);
+    BOOST_TEST(alone.decidedBy.empty());
+    BOOST_TEST(alone.unanswered);
 }
 
 // One workspace sends five times its rate, spread over all entries. The others would be crowded out if each entry only
--- a/src/limits/runtimes.cpp
+++ b/src/limits/runtimes.cpp
@@ -12,22 +12,22 @@
 }
 
 RunTimes::RunTimes(base::Duration firstGuess)
-    : m_firstGuess(firstGuess)
+    : m_initialEstimate(firstGuess)
 {
 }
 
-void RunTimes::note(const base::RouteId &route, base::Duration run)
+void RunTimes::record(const base::RouteId &route, base::Duration run)
 {
-    m_all.note(run);
+    m_all.record(run);
     if (m_routes.size() >= mostRoutes && !m_routes.contains(route)) {
         m_routes.clear(); // Routes in use are known again after a few runs.
     }
-    m_routes[route].note(run);
+    m_routes[route].record(run);
 }
 
 base::Duration RunTimes::mean() const
 {
-    return m_all.runs > 0 ? m_all.value : m_firstGuess;
+    return m_all.runs > 0 ? m_all.value : m_initialEstimate;
 }
 
 base::Duration RunTimes::mean(const base::RouteId &route) const
@@ -53,7 +53,7 @@
 }
 
 /// The first runs weigh alike: a guess that is far too short would else stay in the mean for a dozen of them.
-void RunTimes::Mean::note(base::Duration run)
+void RunTimes::Mean::record(base::Duration run)
 {
     ++runs;
     value += (run - value) / static_cast<std::int64_t>(std::min(runs, runMemory));
--- a/src/limits/runtimes_test.cpp
+++ b/src/limits/runtimes_test.cpp
@@ -15,7 +15,7 @@
     void note(const base::RouteId &route, base::Duration run, int count)
     {
         for (int i = 0; i < count; ++i) {
-            runTimes.note(route, run);
+            runTimes.record(route, run);
         }
     }
 
--- a/src/limits/sharesites.cpp
+++ b/src/limits/sharemap.cpp
@@ -1,4 +1,4 @@
-#include "sharesites.h"
+#include "sharemap.h"
 
 #include "papayastep/base/hashing.h"
 
--- a/src/limits/slotqueue.cpp
+++ b/src/limits/slotqueue.cpp
@@ -28,43 +28,43 @@
     : m_clock(clock)
     , m_settings(settings)
     , m_slots(std::max(0, slots))
-    , m_runTimes(settings.expectedRun)
+    , m_runTimes(settings.initialRunTime)
 {
 }
 
-Verdict SlotQueue::offer(const AttemptId &attempt, const base::WorkspaceId &workspace, base::TimePoint deadline)
+OfferResult SlotQueue::offer(const AttemptId &attempt, const base::WorkspaceId &workspace, base::TimePoint deadline)
 {
     return offer(QueueOffer{attempt, workspace, deadline, 0, std::nullopt, {}, false});
 }
 
-Verdict SlotQueue::offer(const QueueOffer &offer)
+OfferResult SlotQueue::offer(const QueueOffer &offer)
 {
     if (m_queued.contains(offer.attempt) || m_running.contains(offer.attempt)) {
         return refusal(base::ResultCode::HopReplayed, offer.workspace, tierOf(offer));
     }
     // An attempt that would wait past its deadline is refused now: later its caller could do nothing any more.
-    if (!comesInTime(offer)) {
+    if (!canAnswerInTime(offer)) {
         return refusal(base::ResultCode::HopQueueTimeout, offer.workspace, tierOf(offer));
     }
     if (!makeRoom(offer.workspace, tierOf(offer))) {
         return refusal(base::ResultCode::HopQueueFull, offer.workspace, tierOf(offer));
     }
     enqueue(offer);
-    return Verdict{true, base::ResultCode::Ok, {}};
+    return OfferResult{true, base::ResultCode::Ok, {}};
 }
 
-Verdict SlotQueue::quote(const QueueOffer &offer) const
+OfferResult SlotQueue::quote(const QueueOffer &offer) const
 {
     const base::Duration wait = expectedWait(offer.workspace, tierOf(offer));
-    if (!comesInTime(offer)) {
-        return Verdict{false, base::ResultCode::HopQueueTimeout, std::max(shortestRetryAfter, wait)};
+    if (!canAnswerInTime(offer)) {
+        return OfferResult{false, base::ResultCode::HopQueueTimeout, std::max(shortestRetryAfter, wait)};
     }
     const bool full = m_queued.size() >= m_settings.maxQueued
-        || queuedOf(offer.workspace, tierOf(offer)) >= m_settings.maxQueuedPerWorkspace;
+        || queueLength(offer.workspace, tierOf(offer)) >= m_settings.maxQueuedPerWorkspace;
     if (full) {
-        return Verdict{false, base::ResultCode::HopQueueFull, std::max(shortestRetryAfter, wait)};
+        return OfferResult{false, base::ResultCode::HopQueueFull, std::max(shortestRetryAfter, wait)};
     }
-    return Verdict{true, base::ResultCode::Ok, wait};
+    return OfferResult{true, base::ResultCode::Ok, wait};
 }
 
 std::vector<QueueDecision> SlotQueue::poll()
@@ -75,17 +75,17 @@
     return decisions;
 }
 
-CancelVerdict SlotQueue::cancel(const AttemptId &attempt)
+CancelOutcome SlotQueue::cancel(const AttemptId &attempt)
 {
     if (m_running.contains(attempt)) {
-        return CancelVerdict::Started;
+        return CancelOutcome::Started;
     }
     if (removeQueued(attempt)) {
-        return CancelVerdict::NeverStarted;
+        return CancelOutcome::NeverStarted;
     }
     const auto evicted = std::find_if(
         m_evicted.begin(), m_evicted.end(), [&](const QueueDecision &decision) { return decision.attempt == attempt; });
-    return evicted != m_evicted.end() ? CancelVerdict::NeverStarted : CancelVerdict::Unknown;
+    return evicted != m_evicted.end() ? CancelOutcome::NeverStarted : CancelOutcome::Unknown;
 }
 
 void SlotQueue::finished(const AttemptId &attempt, bool usual)
@@ -94,9 +94,9 @@
     if (found == m_running.end()) {
         return;
     }
-    m_lastEnd = m_clock.now();
+    m_lastFinishedAt = m_clock.now();
     if (usual) {
-        m_runTimes.note(found->second.route, *m_lastEnd - found->second.since);
+        m_runTimes.record(found->second.route, *m_lastFinishedAt - found->second.startedAt);
     }
     m_running.erase(found);
 }
@@ -136,16 +136,16 @@
 
 std::optional<base::TimePoint> SlotQueue::idleSince() const
 {
-    return m_running.empty() ? m_lastEnd : std::nullopt;
+    return m_running.empty() ? m_lastFinishedAt : std::nullopt;
 }
 
 base::Duration SlotQueue::expectedWait(const base::WorkspaceId &workspace, int priority) const
 {
-    const std::size_t own = queuedOf(workspace, priority);
+    const std::size_t own = queueLength(workspace, priority);
     std::size_t ahead = own;
     const auto tier = m_tiers.find(priority);
     if (tier != m_tiers.end()) {
-        for (const Lane &lane : tier->second.lanes) {
+        for (const WorkspaceQueue &lane : tier->second.queues) {
             // Each other workspace has one turn for each turn of this one.
             ahead += lane.workspace == workspace ? 0 : std::min(lane.attempts.size(), own + 1);
         }
@@ -160,43 +160,44 @@
     return waitBehind(ahead);
 }
 
-std::list<SlotQueue::Lane>::iterator SlotQueue::laneOf(Tier &tier, const base::WorkspaceId &workspace)
+std::list<SlotQueue::WorkspaceQueue>::iterator SlotQueue::queueOf(Tier &tier, const base::WorkspaceId &workspace)
 {
-    return std::find_if(
-        tier.lanes.begin(), tier.lanes.end(), [&](const Lane &lane) { return lane.workspace == workspace; });
+    return std::find_if(tier.queues.begin(), tier.queues.end(), [&](const WorkspaceQueue &lane) {
+        return lane.workspace == workspace;
+    });
 }
 
-std::size_t SlotQueue::queuedOf(const base::WorkspaceId &workspace, int priority) const
+std::size_t SlotQueue::queueLength(const base::WorkspaceId &workspace, int priority) const
 {
     const auto tier = m_tiers.find(priority);
     if (tier == m_tiers.end()) {
         return 0;
     }
-    const auto lane = std::find_if(tier->second.lanes.begin(), tier->second.lanes.end(), [&](const Lane &candidate) {
-        return candidate.workspace == workspace;
-    });
-    return lane != tier->second.lanes.end() ? lane->attempts.size() : 0;
+    const auto lane = std::find_if(tier->second.queues.begin(),
+                                   tier->second.queues.end(),
+                                   [&](const WorkspaceQueue &candidate) { return candidate.workspace == workspace; });
+    return lane != tier->second.queues.end() ? lane->attempts.size() : 0;
 }
 
 double SlotQueue::weight(int priority) const
 {
-    return std::pow(m_settings.nextTierShare, std::clamp(priority, callTier, leastUrgent));
+    return std::pow(m_settings.nextTierWeight, std::clamp(priority, callTier, leastUrgent));
 }
 
-Verdict SlotQueue::refusal(base::ResultCode code, const base::WorkspaceId &workspace, int priority) const
+OfferResult SlotQueue::refusal(base::ResultCode code, const base::WorkspaceId &workspace, int priority) const
 {
     const base::Duration wait = std::max(shortestRetryAfter, expectedWait(workspace, priority));
-    return Verdict{false, code, wait};
+    return OfferResult{false, code, wait};
 }
 
 /// After it a usual run would not end before the deadline.
 base::TimePoint SlotQueue::latestStart(const QueueOffer &offer) const
 {
-    return offer.deadline - part(m_runTimes.mean(offer.route), m_settings.roomForRun);
+    return offer.deadline - part(m_runTimes.mean(offer.route), m_settings.runTimeReserve);
 }
 
 /// Whether an answer can be expected soon enough for the caller.
-bool SlotQueue::comesInTime(const QueueOffer &offer) const
+bool SlotQueue::canAnswerInTime(const QueueOffer &offer) const
 {
     const base::TimePoint now = m_clock.now();
     const base::Duration wait = expectedWait(offer.workspace, tierOf(offer));
@@ -211,15 +212,15 @@
         return true;
     }
     const base::Duration run = m_runTimes.mean(offer.route);
-    const bool canBeWanted = offer.wanted && *offer.wanted > now + run;
-    const base::Duration slack = (canBeWanted ? std::min(*offer.wanted, offer.deadline) : offer.deadline) - now - run;
-    if (m_settings.slackForWaiting < 1 && wait > part(slack, m_settings.slackForWaiting)) {
+    const bool canBeWanted = offer.wantedBy && *offer.wantedBy > now + run;
+    const base::Duration slack = (canBeWanted ? std::min(*offer.wantedBy, offer.deadline) : offer.deadline) - now - run;
+    if (m_settings.maxWaitFraction < 1 && wait > part(slack, m_settings.maxWaitFraction)) {
         return false;
     }
-    if (!offer.wanted || *offer.wanted >= offer.deadline) {
+    if (!offer.wantedBy || *offer.wantedBy >= offer.deadline) {
         return true;
     }
-    return start + run <= *offer.wanted + part(offer.deadline - *offer.wanted, m_settings.lateness);
+    return start + run <= *offer.wantedBy + part(offer.deadline - *offer.wantedBy, m_settings.maxLateness);
 }
 
 /// Whether one more attempt fits. In a full queue the longest workspace queue of the least urgent tier gives up its
@@ -227,7 +228,7 @@
 /// workspace can keep another one out.
 bool SlotQueue::makeRoom(const base::WorkspaceId &workspace, int priority)
 {
-    const std::size_t own = queuedOf(workspace, priority);
+    const std::size_t own = queueLength(workspace, priority);
     if (own >= m_settings.maxQueuedPerWorkspace) {
         return false;
     }
@@ -235,9 +236,11 @@
         return true;
     }
     const auto least = std::prev(m_tiers.end());
-    auto &lanes = least->second.lanes;
-    const auto longest = std::max_element(
-        lanes.begin(), lanes.end(), [](const Lane &a, const Lane &b) { return a.attempts.size() < b.attempts.size(); });
+    auto &lanes = least->second.queues;
+    const auto longest
+        = std::max_element(lanes.begin(), lanes.end(), [](const WorkspaceQueue &a, const WorkspaceQueue &b) {
+              return a.attempts.size() < b.attempts.size();
+          });
     const bool isLessUrgent = least->first > priority;
     if (least->first < priority || (!isLessUrgent && longest->attempts.size() <= own + 1)) {
         return false;
@@ -256,15 +259,15 @@
     if (isNew) {
         tier.pass = m_pass;
     }
-    auto lane = laneOf(tier, offer.workspace);
-    if (lane == tier.lanes.end()) {
-        tier.lanes.push_back(Lane{offer.workspace, {}});
-        lane = std::prev(tier.lanes.end());
+    auto lane = queueOf(tier, offer.workspace);
+    if (lane == tier.queues.end()) {
+        tier.queues.push_back(WorkspaceQueue{offer.workspace, {}});
+        lane = std::prev(tier.queues.end());
     }
     const base::TimePoint latest = latestStart(offer);
     lane->attempts.push_back(Queued{offer.attempt, latest, offer.route});
     ++tier.size;
-    m_queued.emplace(offer.attempt, Place{tierOf(offer), offer.workspace});
+    m_queued.emplace(offer.attempt, QueuedPosition{tierOf(offer), offer.workspace});
     m_deadlines.emplace(latest, offer.attempt);
 }
 
@@ -272,7 +275,7 @@
 {
     while (!m_deadlines.empty() && m_deadlines.begin()->first <= m_clock.now()) {
         const AttemptId attempt = m_deadlines.begin()->second;
-        const Place place = m_queued.at(attempt);
+        const QueuedPosition place = m_queued.at(attempt);
         const base::Duration wait = std::max(shortestRetryAfter, expectedWait(place.workspace, place.priority));
         removeQueued(attempt);
         decisions.push_back(QueueDecision{attempt, false, base::ResultCode::HopQueueTimeout, wait});
@@ -282,13 +285,13 @@
 void SlotQueue::startNext(std::vector<QueueDecision> &decisions)
 {
     while (!m_tiers.empty() && m_running.size() < static_cast<std::size_t>(m_slots)) {
-        const auto place = nextTier();
+        const auto place = selectTier();
         Tier &tier = place->second;
         m_pass = tier.pass;
         tier.pass += 1 / weight(place->first);
-        const Queued next = tier.lanes.front().attempts.front();
+        const Queued next = tier.queues.front().attempts.front();
         // The workspace has had its turn and goes to the back, before it may vanish as empty.
-        tier.lanes.splice(tier.lanes.end(), tier.lanes, tier.lanes.begin());
+        tier.queues.splice(tier.queues.end(), tier.queues, tier.queues.begin());
         removeQueued(next.attempt);
         m_running.emplace(next.attempt, Running{m_clock.now(), next.route});
         decisions.push_back(QueueDecision{next.attempt, true, base::ResultCode::Ok, {}});
@@ -296,7 +299,7 @@
 }
 
 /// The one that has had the least of its part. Of two alike the more urgent one.
-SlotQueue::Tiers::iterator SlotQueue::nextTier()
+SlotQueue::Tiers::iterator SlotQueue::selectTier()
 {
     return std::min_element(
         m_tiers.begin(), m_tiers.end(), [](const auto &a, const auto &b) { return a.second.pass < b.second.pass; });
@@ -310,14 +313,14 @@
     }
     const auto place = m_tiers.find(queued->second.priority);
     Tier &tier = place->second;
-    const auto lane = laneOf(tier, queued->second.workspace);
+    const auto lane = queueOf(tier, queued->second.workspace);
     const auto position = std::find_if(lane->attempts.begin(), lane->attempts.end(), [&attempt](const Queued &entry) {
         return entry.attempt == attempt;
     });
     m_deadlines.erase({position->latestStart, attempt});
     lane->attempts.erase(position);
     if (lane->attempts.empty()) {
-        tier.lanes.erase(lane);
+        tier.queues.erase(lane);
     }
     --tier.size;
     if (tier.size == 0) {
--- a/src/limits/slotqueue_test.cpp
+++ b/src/limits/slotqueue_test.cpp
@@ -26,7 +26,7 @@
     {
         return AttemptId{base::RequestId{1, number}, 1};
     }
-    Verdict offer(std::uint64_t number, const base::WorkspaceId &workspace, base::Duration deadline = 10s)
+    OfferResult offer(std::uint64_t number, const base::WorkspaceId &workspace, base::Duration deadline = 10s)
     {
         return queue.offer(attempt(number), workspace, clock.now() + deadline);
     }
@@ -86,7 +86,7 @@
     offer(30, quietWorkspace);
     offer(31, quietWorkspace);
     BOOST_TEST(offer(32, quietWorkspace).accepted);
-    BOOST_TEST((queue.cancel(attempt(15)) == CancelVerdict::NeverStarted));
+    BOOST_TEST((queue.cancel(attempt(15)) == CancelOutcome::NeverStarted));
     const auto decisions = queue.poll();
     BOOST_REQUIRE(decisions.size() == 1U);
     BOOST_TEST((decisions[0].attempt == attempt(15)));
@@ -102,7 +102,7 @@
     offer(1, quietWorkspace);
     offer(2, quietWorkspace);
     startNow();
-    const Verdict hopeless = offer(3, quietWorkspace, 10ms);
+    const OfferResult hopeless = offer(3, quietWorkspace, 10ms);
     BOOST_TEST((hopeless.code == base::ResultCode::HopQueueTimeout));
     BOOST_TEST(hopeless.retryAfter.count() > 0);
     BOOST_TEST(offer(4, quietWorkspace, 200ms).accepted);
@@ -137,8 +137,8 @@
 BOOST_FIXTURE_TEST_CASE(offer_thatWouldComeTooLateToBeWanted_isRefused, TwoSlots)
 {
     SlotQueueSettings settings{100, 100, 400ms};
-    settings.lateness = 0.3;
-    settings.roomForRun = 0.7;
+    settings.maxLateness = 0.3;
+    settings.runTimeReserve = 0.7;
     SlotQueue slow(clock, 1, settings);
     const auto offerAt = [&](std::uint64_t number) {
         return slow.offer({attempt(number), quietWorkspace, clock.now() + 2s, 1, clock.now() + 1200ms}).accepted;
@@ -185,8 +185,8 @@
     const base::RouteId history("history");
     const base::RouteId yard("yard");
     SlotQueueSettings settings;
-    settings.roomForRun = 0.7;
-    settings.lateness = 0.3;
+    settings.runTimeReserve = 0.7;
+    settings.maxLateness = 0.3;
     SlotQueue mixed(clock, 5, settings);
     std::uint64_t number = 0;
     const auto offerRun = [&](const base::RouteId &route, base::Duration wanted, base::Duration deadline) {
@@ -213,9 +213,9 @@
 BOOST_FIXTURE_TEST_CASE(call_atAFullServer_waitsUntilItsDeadlineAndGoesFirst, TwoSlots)
 {
     SlotQueueSettings settings{100, 100, 400ms};
-    settings.roomForRun = 0.7;
-    settings.lateness = 0.3;
-    settings.slackForWaiting = 0.25;
+    settings.runTimeReserve = 0.7;
+    settings.maxLateness = 0.3;
+    settings.maxWaitFraction = 0.25;
     SlotQueue crowded(clock, 1, settings);
     const auto offerWith = [&](std::uint64_t number, base::Duration deadline, bool isCall) {
         const auto now = clock.now();
@@ -244,12 +244,12 @@
     startNow();
     BOOST_TEST((offer(3, quietWorkspace).code == base::ResultCode::HopReplayed));
     BOOST_TEST((offer(1, quietWorkspace).code == base::ResultCode::HopReplayed));
-    BOOST_TEST((queue.cancel(attempt(1)) == CancelVerdict::Started));
-    BOOST_TEST((queue.cancel(attempt(3)) == CancelVerdict::NeverStarted));
-    BOOST_TEST((queue.cancel(attempt(3)) == CancelVerdict::Unknown));
+    BOOST_TEST((queue.cancel(attempt(1)) == CancelOutcome::Started));
+    BOOST_TEST((queue.cancel(attempt(3)) == CancelOutcome::NeverStarted));
+    BOOST_TEST((queue.cancel(attempt(3)) == CancelOutcome::Unknown));
     queue.finished(attempt(1));
     BOOST_TEST(startNow().empty());
-    BOOST_TEST((queue.cancel(attempt(1)) == CancelVerdict::Unknown));
+    BOOST_TEST((queue.cancel(attempt(1)) == CancelOutcome::Unknown));
 }
 
 RC_BOOST_PROP(queue_underAnySchedule_keepsItsBoundsAndDecidesEachOnce, (const std::vector<std::uint16_t> &steps))
@@ -265,7 +265,7 @@
             fixture.queue.finished(*running.begin());
             running.erase(running.begin());
         } else if (step % 7 == 0 && !undecided.empty()) {
-            RC_ASSERT(fixture.queue.cancel(*undecided.begin()) == CancelVerdict::NeverStarted);
+            RC_ASSERT(fixture.queue.cancel(*undecided.begin()) == CancelOutcome::NeverStarted);
             undecided.erase(undecided.begin());
         } else if (fixture.offer(++number, workspace, std::chrono::milliseconds(60 + step % 200)).accepted) {
             undecided.insert(TwoSlots::attempt(number));
--- a/src/limits/tokenbroker.cpp
+++ b/src/limits/tokenbroker.cpp
@@ -14,7 +14,7 @@
 class TokenBroker::Impl
 {
 public:
-    Impl(const BrokerSelf &self, const base::Clock &clock, const BrokerSettings &settings)
+    Impl(const NodeIdentity &self, const base::Clock &clock, const BrokerSettings &settings)
         : m_context(self, clock, settings)
         , m_lastSteady(clock.now())
         , m_lastWall(clock.wallNow())
@@ -36,11 +36,11 @@
     std::vector<wire::Outgoing> takeMessages();
     std::vector<AdmissionDecision> takeDecisions();
     WorkspaceStatus status(const base::WorkspaceId &workspace);
-    const BrokerCounters &counters();
+    const LimiterCounters &counters();
     std::size_t activeWorkspaces() const;
-    bool isSettled() const
+    bool isReady() const
     {
-        return m_context.tenure.isSettled();
+        return m_context.tenure.isReady();
     }
 
 private:
@@ -168,7 +168,7 @@
     receive(request.uses);
     for (const TokenAsk &ask : request.asks) {
         if (m_context.workspace(ask.workspace) == nullptr) {
-            m_context.outbox.answer(from, incarnation, GrantAnswer{ask.ask, {}, 0, 0, 0, false});
+            m_context.outbox.answer(from, incarnation, GrantAnswer{ask.askId, {}, 0, 0, 0, false});
             continue;
         }
         Entry &entry = use(ask.workspace);
@@ -180,9 +180,9 @@
 void TokenBroker::Impl::receive(const base::VmId &from, base::Incarnation incarnation, const TokenGrant &grant)
 {
     for (const GrantAnswer &answer : grant.answers) {
-        const auto owner = m_context.askOwners.find(answer.ask);
+        const auto owner = m_context.askWorkspaces.find(answer.askId);
         Entry *entry = nullptr;
-        if (grant.asker == m_context.self.incarnation && owner != m_context.askOwners.end()) {
+        if (grant.asker == m_context.self.incarnation && owner != m_context.askWorkspaces.end()) {
             entry = find(owner->second);
         }
         if (entry == nullptr || !entry->tokens.receive(from, incarnation, answer)) {
@@ -216,7 +216,7 @@
         m_timers.erase(m_timers.begin());
         due->second.scheduledAt = base::TimePoint::max();
         due->second.tokens.service();
-        if (due->second.tokens.idle()) {
+        if (due->second.tokens.isIdle()) {
             m_entries.erase(m_entries.find(due->first));
         } else {
             schedule(due->first, due->second);
@@ -272,7 +272,7 @@
     return WorkspaceTokens(workspace, m_context).status();
 }
 
-const BrokerCounters &TokenBroker::Impl::counters()
+const LimiterCounters &TokenBroker::Impl::counters()
 {
     m_context.counters.tenuresLost = m_context.tenure.lapses();
     return m_context.counters;
@@ -339,7 +339,7 @@
     }
 }
 
-TokenBroker::TokenBroker(const BrokerSelf &self, const base::Clock &clock, BrokerSettings settings)
+TokenBroker::TokenBroker(const NodeIdentity &self, const base::Clock &clock, BrokerSettings settings)
     : m_impl(std::make_unique<Impl>(self, clock, settings))
 {
 }
@@ -408,9 +408,9 @@
     return m_impl->takeDecisions();
 }
 
-bool TokenBroker::isSettled() const
+bool TokenBroker::isReady() const
 {
-    return m_impl->isSettled();
+    return m_impl->isReady();
 }
 
 bool TokenBroker::chargesRepeats() const
@@ -423,7 +423,7 @@
     return m_impl->status(workspace);
 }
 
-const BrokerCounters &TokenBroker::counters() const
+const LimiterCounters &TokenBroker::counters() const
 {
     return m_impl->counters();
 }
--- a/src/limits/tokenbroker_test.cpp
+++ b/src/limits/tokenbroker_test.cpp
@@ -39,7 +39,7 @@
 struct StartedBroker
 {
     base::ManualClock clock;
-    BrokerSelf self{base::VmId("vm-0"), base::ZoneId("zone-0"), 7};
+    NodeIdentity self{base::VmId("vm-0"), base::ZoneId("zone-0"), 7};
     TokenBroker broker{self, clock};
     config::VmList list;
     std::uint64_t lastRequest = 0;
@@ -155,7 +155,7 @@
     }
     void grant(const std::string &from, Tokens amount, base::Incarnation asker = 7)
     {
-        const GrantAnswer answer{ask.ask, {GrantPart{3, amount, 1'000'000}}, 0, 0, 0, false};
+        const GrantAnswer answer{ask.askId, {GrantPart{3, amount, 1'000'000}}, 0, 0, 0, false};
         broker.receive(base::VmId(from), 55, wire::MessageKind::TokenGrant, wire::encode(TokenGrant{asker, {answer}}));
     }
     std::size_t admittedNow()
@@ -202,7 +202,7 @@
     for (const wire::Outgoing &message : broker.takeMessages()) {
         if (message.kind == wire::MessageKind::TenureQuery) {
             const auto query = wire::decode<TenureQuery>(message.payload);
-            const TenureAnswer answer{7, query.query, query.listVersion, query.members, 3'600'000'000};
+            const TenureAnswer answer{7, query.queryId, query.listVersion, query.membersHash, 3'600'000'000};
             const std::string payload = wire::encode(answer);
             broker.receive(base::VmId("vm-1"), 55, wire::MessageKind::TenureAnswer, payload);
         }
@@ -385,7 +385,7 @@
 BOOST_FIXTURE_TEST_CASE(holder_withStrangeReports_makesNoToken, SettledHolder)
 {
     const TokenGrant grant = askedFor(3 * oneToken, 3 * oneToken);
-    const std::uint64_t id = grant.answers.at(0).parts.at(0).grant;
+    const std::uint64_t id = grant.answers.at(0).parts.at(0).grantId;
     report(GrantUse{school, 6, id, 0, 3 * oneToken});
     report(GrantUse{school, 7, id + 1, 0, 3 * oneToken});
     BOOST_TEST(broker.status(school).shares.at(0).level == 1);
--- a/src/limits/tokenshare.cpp
+++ b/src/limits/tokenshare.cpp
@@ -21,14 +21,14 @@
 
 }
 
-void GrantBook::add(const OpenGrant &grant)
+void GrantTable::add(const OpenGrant &grant)
 {
     m_grants.push_back(grant);
     m_open += grant.open();
     m_nextExpiry = std::min(m_nextExpiry, grant.expiry);
 }
 
-std::optional<GrantChange> GrantBook::report(std::uint64_t id, Tokens spent, Tokens unused)
+std::optional<GrantChange> GrantTable::report(std::uint64_t id, Tokens spent, Tokens unused)
 {
     const auto found
         = std::lower_bound(m_grants.begin(), m_grants.end(), id, [](const OpenGrant &grant, std::uint64_t wanted) {
@@ -54,7 +54,7 @@
     return change;
 }
 
-std::optional<OpenGrant> GrantBook::takeExpired(base::TimePoint now)
+std::optional<OpenGrant> GrantTable::takeExpired(base::TimePoint now)
 {
     if (m_nextExpiry > now) {
         return std::nullopt;
@@ -67,12 +67,12 @@
     return grant;
 }
 
-base::TimePoint GrantBook::nextExpiry() const
+base::TimePoint GrantTable::nextExpiry() const
 {
     return m_nextExpiry;
 }
 
-void GrantBook::remove(std::vector<OpenGrant>::iterator grant)
+void GrantTable::remove(std::vector<OpenGrant>::iterator grant)
 {
     const bool wasNext = grant->expiry == m_nextExpiry;
     m_grants.erase(grant);
@@ -85,12 +85,12 @@
     }
 }
 
-Tokens GrantBook::open() const
+Tokens GrantTable::open() const
 {
     return m_open;
 }
 
-bool GrantBook::empty() const
+bool GrantTable::empty() const
 {
     return m_grants.empty();
 }
@@ -110,10 +110,10 @@
         m_grants.takeExpired(expiry);
     }
     refillUntil(now);
-    while (!m_spends.empty() && m_spends.front().at + spendMemory < now) {
-        m_unsettled -= m_spends.front().amount;
+    while (!m_spends.empty() && m_spends.front().spentAt + spendMemory < now) {
+        m_returnable -= m_spends.front().amount;
         m_spends.pop_front();
-        ++m_firstSpend;
+        ++m_firstSpendNumber;
     }
 }
 
@@ -158,27 +158,27 @@
 std::uint64_t TokenShare::spend(Tokens amount, base::TimePoint now)
 {
     m_level -= amount;
-    m_unsettled += amount;
+    m_returnable += amount;
     if (m_spends.full()) {
         m_spends.set_capacity(std::max(firstSpendCapacity, 2 * m_spends.capacity()));
     }
     m_spends.push_back(Spend{amount, now});
-    return m_firstSpend + m_spends.size() - 1;
+    return m_firstSpendNumber + m_spends.size() - 1;
 }
 
 bool TokenShare::giveBack(std::uint64_t spendNumber)
 {
-    if (spendNumber < m_firstSpend || spendNumber >= m_firstSpend + m_spends.size()) {
+    if (spendNumber < m_firstSpendNumber || spendNumber >= m_firstSpendNumber + m_spends.size()) {
         return false;
     }
-    Spend &spend = m_spends[spendNumber - m_firstSpend];
-    m_unsettled -= spend.amount;
+    Spend &spend = m_spends[spendNumber - m_firstSpendNumber];
+    m_returnable -= spend.amount;
     m_level += std::clamp<Tokens>(room(), 0, spend.amount);
     spend.amount = 0;
     return true;
 }
 
-bool TokenShare::untouched() const
+bool TokenShare::isUntouched() const
 {
     return m_level >= m_terms.burst && m_grants.empty();
 }
@@ -206,23 +206,23 @@
     m_refilledAt = until;
     const Tokens wanted = std::max<Tokens>(0, m_terms.burst - m_level);
     const Tokens gain = yieldOf(m_terms.ratePerSecond, passed, wanted);
-    settleSpends(gain);
+    dropOldestSpends(gain);
     m_level += std::clamp<Tokens>(room(), 0, gain);
 }
 
 /// Spends keep their place in the burst only while nothing else needs it.
-void TokenShare::settleSpends(Tokens needed)
+void TokenShare::dropOldestSpends(Tokens needed)
 {
     while (room() < needed && !m_spends.empty()) {
-        m_unsettled -= m_spends.front().amount;
+        m_returnable -= m_spends.front().amount;
         m_spends.pop_front();
-        ++m_firstSpend;
+        ++m_firstSpendNumber;
     }
 }
 
 Tokens TokenShare::room() const
 {
-    return m_terms.burst - m_level - m_grants.open() - m_unsettled;
+    return m_terms.burst - m_level - m_grants.open() - m_returnable;
 }
 
 }
--- a/src/limits/tokenshare.h
+++ b/src/limits/tokenshare.h
@@ -46,7 +46,7 @@
 };
 
 /// Grants that may still be spent elsewhere, in the order of their ids.
-class GrantBook
+class GrantTable
 {
 public:
     void add(const OpenGrant &grant);
@@ -94,7 +94,7 @@
 
     /// Gives `amount` (at most level()) away until `expiry`.
     void grant(std::uint64_t id, Tokens amount, base::TimePoint expiry);
-    /// See GrantBook::report(). Unused tokens come back to the level.
+    /// See GrantTable::report(). Unused tokens come back to the level.
     bool report(std::uint64_t id, Tokens spent, Tokens unused);
 
     /// Spends `amount` (at most level()) here. Returns the number of the spend.
@@ -103,7 +103,7 @@
     bool giveBack(std::uint64_t spendNumber);
 
     /// Full and nothing outstanding: as good as a new share.
-    bool untouched() const;
+    bool isUntouched() const;
     /// When the level will have risen to `level`, if nothing is taken; a far time for a share without a rate.
     base::TimePoint timeOfLevel(Tokens level) const;
 
@@ -111,20 +111,20 @@
     struct Spend
     {
         Tokens amount = 0; ///< 0 once given back.
-        base::TimePoint at;
+        base::TimePoint spentAt;
     };
 
     void refillUntil(base::TimePoint until);
-    void settleSpends(Tokens needed);
+    void dropOldestSpends(Tokens needed);
     Tokens room() const;
 
     ShareTerms m_terms;
     Tokens m_level = 0;
-    Tokens m_unsettled = 0; ///< Sum of m_spends.
+    Tokens m_returnable = 0; ///< Sum of m_spends.
     base::TimePoint m_refilledAt;
-    GrantBook m_grants;
+    GrantTable m_grants;
     boost::circular_buffer<Spend> m_spends; ///< Those that may still be given back, the oldest first.
-    std::uint64_t m_firstSpend = 1; ///< Number of m_spends.front().
+    std::uint64_t m_firstSpendNumber = 1; ///< Number of m_spends.front().
 };
 
 }
--- a/src/limits/tokenshare_test.cpp
+++ b/src/limits/tokenshare_test.cpp
@@ -38,7 +38,7 @@
 BOOST_FIXTURE_TEST_CASE(share_afterAnHour_isFullAndNotMore, FullShare)
 {
     BOOST_TEST(share.level() == 5 * oneToken);
-    BOOST_TEST(share.untouched());
+    BOOST_TEST(share.isUntouched());
 }
 
 // An entry node holds granted tokens while the share refills behind it. If grants took no room, the tokens there and
--- a/src/limits/workspacetokens.cpp
+++ b/src/limits/workspacetokens.cpp
@@ -65,30 +65,30 @@
     refresh();
     const base::TimePoint now = m_context.clock.now();
     m_lastUse = now;
-    if (m_sites.empty()) {
+    if (m_views.empty()) {
         return Refused{base::ResultCode::RateExceeded, longestRetryAfter};
     }
-    m_seen.add(1, now);
-    if (m_needs.empty()) {
+    m_requestedRate.add(1, now);
+    if (m_waiters.empty()) {
         if (auto token = takeToken()) {
             prefetch();
             return Admitted{std::move(*token)};
         }
     }
     if (now < m_refusedUntil) {
-        m_failed.add(1, now);
-        return Refused{base::ResultCode::RateExceeded, std::max(m_toldRetryAfter, m_refusedUntil - now)};
+        m_refusedRate.add(1, now);
+        return Refused{base::ResultCode::RateExceeded, std::max(m_receivedRetryAfter, m_refusedUntil - now)};
     }
     const base::TimePoint until = std::min(now + m_context.settings.waitLimit, deadline - deadlineMargin);
     if (until <= now) {
         return Refused{base::ResultCode::DeadlineExceeded, crowdedRetryAfter};
     }
-    Need need;
+    Waiter need;
     need.request = request;
     need.urgent = oneToken;
     need.until = until;
-    m_needs.push_back(need);
-    resolve();
+    m_waiters.push_back(need);
+    serveWaiters();
     std::vector<AdmissionDecision> &decisions = m_context.decisions;
     if (!decisions.empty() && decisions.back().request == request) {
         Admission decided = std::move(decisions.back().admission);
@@ -101,7 +101,7 @@
 bool WorkspaceTokens::cancelWaiting(const base::RequestId &request)
 {
     const auto removed
-        = std::erase_if(m_needs, [&request](const Need &need) { return !need.remote && need.request == request; });
+        = std::erase_if(m_waiters, [&request](const Waiter &need) { return !need.remote && need.request == request; });
     return removed != 0;
 }
 
@@ -111,12 +111,12 @@
     bool all = true;
     for (const TokenPart &part : token.parts) {
         if (!part.local) {
-            all = m_wallet.giveBack(part, m_context.clock.now()) && all;
+            all = m_lots.giveBack(part, m_context.clock.now()) && all;
         } else {
             all = m_share && m_share->giveBack(part.source) && all;
         }
     }
-    resolve();
+    serveWaiters();
     return all;
 }
 
@@ -133,17 +133,17 @@
         answerLoan(from, incarnation, ask);
         return;
     }
-    m_seen.add(wholeTokens(ask.urgent), now);
-    Need need;
+    m_requestedRate.add(wholeTokens(ask.urgent), now);
+    Waiter need;
     need.remote = true;
     need.from = from;
     need.incarnation = incarnation;
-    need.ask = ask.ask;
+    need.askId = ask.askId;
     need.urgent = ask.urgent;
     need.wanted = ask.wanted;
     need.until = now + m_context.settings.loanTimeout;
-    m_needs.push_back(need);
-    resolve();
+    m_waiters.push_back(need);
+    serveWaiters();
     prefetch();
 }
 
@@ -151,12 +151,12 @@
 {
     refresh();
     const auto found = std::find_if(
-        m_asks.begin(), m_asks.end(), [&](const PendingAsk &ask) { return ask.id == answer.ask && ask.to == from; });
+        m_asks.begin(), m_asks.end(), [&](const PendingAsk &ask) { return ask.id == answer.askId && ask.to == from; });
     if (found == m_asks.end()) {
         return false;
     }
     const PendingAsk ask = *found;
-    m_context.askOwners.erase(ask.id);
+    m_context.askWorkspaces.erase(ask.id);
     m_asks.erase(found);
     const base::TimePoint now = m_context.clock.now();
     const auto hold = std::chrono::duration_cast<base::Duration>(m_context.settings.prefetch * holdFactor);
@@ -172,34 +172,34 @@
         lot.id = ++m_context.lastLot;
         lot.holder = from;
         lot.holderIncarnation = incarnation;
-        lot.grant = part.grant;
+        lot.grantId = part.grantId;
         lot.amount = part.amount;
         lot.usableUntil = usableUntil;
         lot.returnAt = now + hold;
-        lot.settleWithin = std::chrono::microseconds(answer.settleWithin);
-        m_wallet.add(std::move(lot));
+        lot.reportWithin = std::chrono::microseconds(answer.reportWithin);
+        m_lots.add(std::move(lot));
     }
     if (granted < ask.urgent) {
         m_answeredShort = true;
-        m_toldRetryAfter = std::chrono::microseconds(answer.retryAfter);
+        m_receivedRetryAfter = std::chrono::microseconds(answer.retryAfter);
     }
-    if (ask.loan && ask.site < m_sites.size() && m_sites[ask.site].holder == from) {
-        Site &site = m_sites[ask.site];
+    if (ask.loan && ask.view < m_views.size() && m_views[ask.view].holder == from) {
+        ShareView &site = m_views[ask.view];
         site.level = std::clamp<Tokens>(answer.level, 0, site.burst);
-        site.toldAt = now;
+        site.levelReceivedAt = now;
         site.busyUntil = answer.busy ? now + overloadPause : now;
     }
-    resolve();
+    serveWaiters();
     return true;
 }
 
 bool WorkspaceTokens::receive(const GrantUse &use)
 {
     refresh();
-    const bool known = (m_share && m_share->report(use.grant, use.spent, use.unused))
-        || m_wallet.report(use.grant, use.spent, use.unused, m_context.clock.now());
-    if (known && !m_needs.empty()) {
-        resolve();
+    const bool known = (m_share && m_share->report(use.grantId, use.spent, use.unused))
+        || m_lots.report(use.grantId, use.spent, use.unused, m_context.clock.now());
+    if (known && !m_waiters.empty()) {
+        serveWaiters();
     }
     return known;
 }
@@ -208,7 +208,7 @@
 {
     refresh();
     const base::TimePoint now = m_context.clock.now();
-    for (const auto &[holder, use] : m_wallet.settle(m_id, now)) {
+    for (const auto &[holder, use] : m_lots.takeDueReports(m_id, now)) {
         m_context.outbox.report(holder, use);
     }
     forgetAsks([&](const PendingAsk &ask) { return ask.askedAt + m_context.settings.grantValidity <= now; });
@@ -217,18 +217,18 @@
         if (!ask.timedOut && ask.askedAt + patience <= now) {
             ask.timedOut = true;
             m_context.suspect(ask.to);
-            if (ask.site < m_sites.size()) {
-                m_sites[ask.site].tried = true;
+            if (ask.view < m_views.size()) {
+                m_views[ask.view].unanswered = true;
             }
         }
     }
-    resolve();
+    serveWaiters();
 }
 
 base::TimePoint WorkspaceTokens::nextDue() const
 {
-    base::TimePoint due = m_wallet.nextDue();
-    for (const Need &need : m_needs) {
+    base::TimePoint due = m_lots.nextDue();
+    for (const Waiter &need : m_waiters) {
         due = std::min(due, need.until);
     }
     for (const PendingAsk &ask : m_asks) {
@@ -242,17 +242,17 @@
 base::TimePoint WorkspaceTokens::idleAt() const
 {
     const base::TimePoint unused = m_lastUse + forgetAfter;
-    if (!m_share || m_share->untouched()) {
+    if (!m_share || m_share->isUntouched()) {
         return unused;
     }
     const base::TimePoint full = m_share->timeOfLevel(m_share->terms().burst);
     return std::max({unused, full, m_context.clock.now() + forgetAfter});
 }
 
-bool WorkspaceTokens::idle() const
+bool WorkspaceTokens::isIdle() const
 {
-    const bool used = !m_needs.empty() || !m_asks.empty() || !m_wallet.empty();
-    const bool untouched = !m_share || m_share->untouched();
+    const bool used = !m_waiters.empty() || !m_asks.empty() || !m_lots.empty();
+    const bool untouched = !m_share || m_share->isUntouched();
     return !used && untouched && m_context.clock.now() - m_lastUse >= forgetAfter;
 }
 
@@ -280,9 +280,9 @@
     WorkspaceStatus status;
     status.workspace = m_id;
     status.revision = m_context.configuration ? m_context.configuration->revision() : 0;
-    status.demand = m_seen.perSecond(now);
-    const Tokens inHand = m_wallet.usable(now);
-    for (const Site &site : m_sites) {
+    status.demand = m_requestedRate.perSecond(now);
+    const Tokens inHand = m_lots.usable(now);
+    for (const ShareView &site : m_views) {
         ShareStatus share;
         share.zone = site.zone;
         share.holder = site.holder;
@@ -296,7 +296,7 @@
         }
         status.shares.push_back(share);
     }
-    status.entryTokens = gathers() ? 0 : wholeTokens(inHand);
+    status.entryTokens = isGatherer() ? 0 : wholeTokens(inHand);
     return status;
 }
 
@@ -308,46 +308,46 @@
         m_topology = topology;
         const config::Workspace *workspace = m_context.workspace(m_id);
         if (workspace == nullptr) {
-            m_sites.clear();
+            m_views.clear();
             dropAll(base::ResultCode::KeyUnknown);
             return;
         }
-        rebuildSites(*workspace);
+        rebuildViews(*workspace);
         m_shareChecked = false;
     }
     refreshShare();
 }
 
-void WorkspaceTokens::rebuildSites(const config::Workspace &workspace)
+void WorkspaceTokens::rebuildViews(const config::Workspace &workspace)
 {
-    const std::vector<Site> before = std::exchange(m_sites, {});
+    const std::vector<ShareView> before = std::exchange(m_views, {});
     const std::vector<base::ZoneId> zones = m_context.shares.zonesOf(workspace);
     const double fraction = zones.empty() ? 0 : 1.0 / static_cast<double>(zones.size());
     const ShareTerms terms = termsOf(workspace, fraction, m_context.settings.clockDriftBound);
     m_rate = static_cast<double>(terms.ratePerSecond) * static_cast<double>(zones.size());
     std::uint64_t nearest = 0;
     for (const base::ZoneId &zone : zones) {
-        Site site;
+        ShareView site;
         site.zone = zone;
         site.holder = holderOf(m_id, zone, m_context.list);
         site.rate = static_cast<double>(terms.ratePerSecond);
         site.burst = terms.burst;
-        const auto known
-            = std::find_if(before.begin(), before.end(), [&](const Site &old) { return old.holder == site.holder; });
+        const auto known = std::find_if(
+            before.begin(), before.end(), [&](const ShareView &old) { return old.holder == site.holder; });
         if (known != before.end()) {
             site.level = known->level;
-            site.toldAt = known->toldAt;
+            site.levelReceivedAt = known->levelReceivedAt;
             site.busyUntil = known->busyUntil;
         }
         // Without a share in the own zone, each zone turns to another one, so that the load spreads.
         const std::uint64_t weight = zone == m_context.self.zone
             ? UINT64_MAX
             : base::rendezvousWeight(m_context.self.zone.value(), zone.value());
-        if (m_sites.empty() || weight > nearest) {
+        if (m_views.empty() || weight > nearest) {
             nearest = weight;
-            m_home = m_sites.size();
+            m_ownView = m_views.size();
         }
-        m_sites.push_back(site);
+        m_views.push_back(site);
     }
 }
 
@@ -357,15 +357,15 @@
         m_term = m_context.tenure.term();
         m_share.reset();
     }
-    const bool first = m_home < m_sites.size() && m_sites[m_home].zone == m_context.self.zone
-        && m_sites[m_home].holder == m_context.self.vm && !m_context.draining;
+    const bool first = m_ownView < m_views.size() && m_views[m_ownView].zone == m_context.self.zone
+        && m_views[m_ownView].holder == m_context.self.vm && !m_context.draining;
     if (!first) {
         m_share.reset();
         return;
     }
     const base::TimePoint now = m_context.clock.now();
     if (!m_share || !m_shareChecked) {
-        checkShare(now);
+        updateShare(now);
     }
     if (m_share) {
         m_share->refill(now);
@@ -373,7 +373,7 @@
 }
 
 /// Makes, keeps or drops the share after a change. A share that was away meanwhile starts empty.
-void WorkspaceTokens::checkShare(base::TimePoint now)
+void WorkspaceTokens::updateShare(base::TimePoint now)
 {
     const auto held = m_context.tenure.heldSince(m_id);
     const config::Workspace &workspace = *m_context.workspace(m_id);
@@ -395,7 +395,7 @@
 void WorkspaceTokens::dropAll(base::ResultCode code)
 {
     m_share.reset();
-    m_wallet.clear();
+    m_lots.clear();
     forgetAsks([](const PendingAsk &) { return true; });
     refuseAll(code);
 }
@@ -406,7 +406,7 @@
     std::erase_if(m_asks, [&](const PendingAsk &ask) {
         const bool forgotten = condition(ask);
         if (forgotten) {
-            m_context.askOwners.erase(ask.id);
+            m_context.askWorkspaces.erase(ask.id);
         }
         return forgotten;
     });
@@ -419,7 +419,7 @@
 
 Tokens WorkspaceTokens::available() const
 {
-    return m_wallet.usable(m_context.clock.now()) + ownLevel();
+    return m_lots.usable(m_context.clock.now()) + ownLevel();
 }
 
 std::optional<Token> WorkspaceTokens::takeToken()
@@ -429,7 +429,7 @@
     }
     const base::TimePoint now = m_context.clock.now();
     Token token{m_id, {}, now + m_context.settings.grantValidity};
-    const Tokens missing = oneToken - m_wallet.spend(oneToken, now, token.parts, token.usableUntil);
+    const Tokens missing = oneToken - m_lots.spend(oneToken, now, token.parts, token.usableUntil);
     if (missing > 0) {
         token.parts.push_back(TokenPart{m_share->spend(missing, now), missing, true, 0});
     }
@@ -437,28 +437,28 @@
 }
 
 /// Whether this node answers entries and borrows, instead of asking a holder.
-bool WorkspaceTokens::gathers() const
+bool WorkspaceTokens::isGatherer() const
 {
-    const bool asked = std::any_of(m_needs.begin(), m_needs.end(), [](const Need &need) { return need.remote; });
-    const bool first = m_home < m_sites.size() && m_sites[m_home].holder == m_context.self.vm;
+    const bool asked = std::any_of(m_waiters.begin(), m_waiters.end(), [](const Waiter &need) { return need.remote; });
+    const bool first = m_ownView < m_views.size() && m_views[m_ownView].holder == m_context.self.vm;
     return asked || (first && !m_context.draining);
 }
 
 /// Serves who waits as far as the tokens go, asks for more where that may help, and refuses the others at once.
-void WorkspaceTokens::resolve()
+void WorkspaceTokens::serveWaiters()
 {
-    while (!m_needs.empty() && serveFirst()) {}
+    while (!m_waiters.empty() && serveFirst()) {}
     refuseExpired();
-    if (m_needs.empty()) {
+    if (m_waiters.empty()) {
         m_answeredShort = false;
-        m_rounds = 0;
-        for (Site &site : m_sites) {
-            site.tried = false;
+        m_loanRounds = 0;
+        for (ShareView &site : m_views) {
+            site.unanswered = false;
         }
         return;
     }
-    gather();
-    if (!asking()) {
+    requestMissing();
+    if (!hasOpenAsks()) {
         refuseAll(base::ResultCode::RateExceeded);
     }
 }
@@ -466,76 +466,78 @@
 /// Serves the one that waits longest, if the tokens suffice.
 bool WorkspaceTokens::serveFirst()
 {
-    const Need need = m_needs.front();
+    const Waiter need = m_waiters.front();
     if (available() < need.urgent) {
         return false;
     }
-    m_needs.erase(m_needs.begin());
+    m_waiters.erase(m_waiters.begin());
     if (!need.remote) {
         ++m_context.counters.admittedWaiting;
         m_context.decisions.push_back(AdmissionDecision{need.request, Admitted{*takeToken()}});
         return true;
     }
     const Tokens extra = std::min(need.wanted - need.urgent, (available() - need.urgent) / extraDivisor);
-    m_seen.add(wholeTokens(wholeOnly(extra)), m_context.clock.now());
+    m_requestedRate.add(wholeTokens(wholeOnly(extra)), m_context.clock.now());
     answer(need, need.urgent + wholeOnly(extra));
     return true;
 }
 
 void WorkspaceTokens::refuseAll(base::ResultCode code)
 {
-    const std::vector<Need> needs = std::exchange(m_needs, {});
-    for (const Need &need : needs) {
+    const std::vector<Waiter> needs = std::exchange(m_waiters, {});
+    for (const Waiter &need : needs) {
         refuse(need, code);
     }
     m_answeredShort = false;
-    m_rounds = 0;
+    m_loanRounds = 0;
 }
 
-void WorkspaceTokens::refuse(const Need &need, base::ResultCode code)
+void WorkspaceTokens::refuse(const Waiter &need, base::ResultCode code)
 {
     const base::TimePoint now = m_context.clock.now();
     if (need.remote) {
         const Tokens part = std::min(need.urgent, wholeOnly(available()));
-        m_failed.add(wholeTokens(need.urgent - part), now);
+        m_refusedRate.add(wholeTokens(need.urgent - part), now);
         answer(need, part);
         return;
     }
-    m_failed.add(1, now);
-    const bool told = m_answeredShort && !gathers();
-    m_toldRetryAfter = std::clamp(told ? m_toldRetryAfter : retryAfter(), shortestRetryAfter, longestRetryAfter);
-    const base::Duration pause = overloaded() ? overloadPause : std::min(m_toldRetryAfter, longestPause);
+    m_refusedRate.add(1, now);
+    const bool told = m_answeredShort && !isGatherer();
+    m_receivedRetryAfter
+        = std::clamp(told ? m_receivedRetryAfter : retryAfter(), shortestRetryAfter, longestRetryAfter);
+    const base::Duration pause = isOverloaded() ? overloadPause : std::min(m_receivedRetryAfter, longestPause);
     m_refusedUntil = now + pause;
-    m_context.counters.refusedSilent += m_answeredShort ? 0 : 1;
-    m_context.decisions.push_back(AdmissionDecision{need.request, Refused{code, std::max(m_toldRetryAfter, pause)}});
+    m_context.counters.refusedUnanswered += m_answeredShort ? 0 : 1;
+    m_context.decisions.push_back(
+        AdmissionDecision{need.request, Refused{code, std::max(m_receivedRetryAfter, pause)}});
     VLOG(1) << "limits: Refused a request." << base::field("workspace", m_id) << base::field("request", need.request);
 }
 
 void WorkspaceTokens::refuseExpired()
 {
     const base::TimePoint now = m_context.clock.now();
-    std::vector<Need> expired;
-    for (const Need &need : m_needs) {
+    std::vector<Waiter> expired;
+    for (const Waiter &need : m_waiters) {
         if (need.until <= now) {
             expired.push_back(need);
         }
     }
-    std::erase_if(m_needs, [now](const Need &need) { return need.until <= now; });
-    for (const Need &need : expired) {
+    std::erase_if(m_waiters, [now](const Waiter &need) { return need.until <= now; });
+    for (const Waiter &need : expired) {
         refuse(need, base::ResultCode::RateExceeded);
     }
 }
 
-void WorkspaceTokens::gather()
+void WorkspaceTokens::requestMissing()
 {
     const Tokens missing = uncovered();
     if (missing <= 0) {
         return;
     }
-    if (gathers()) {
+    if (isGatherer()) {
         borrow(missing, 0);
     } else {
-        const double horizon = m_seen.perSecond(m_context.clock.now()) * static_cast<double>(oneToken);
+        const double horizon = m_requestedRate.perSecond(m_context.clock.now()) * static_cast<double>(oneToken);
         askEntryHolder(missing, wholeOnly(yield(horizon, m_context.settings.prefetch)));
     }
 }
@@ -544,7 +546,7 @@
 Tokens WorkspaceTokens::uncovered() const
 {
     Tokens missing = -available();
-    for (const Need &need : m_needs) {
+    for (const Waiter &need : m_waiters) {
         missing += need.urgent;
     }
     for (const PendingAsk &ask : m_asks) {
@@ -558,20 +560,20 @@
     if (m_answeredShort) {
         return;
     }
-    for (std::size_t step = 0; step < m_sites.size(); ++step) {
-        const std::size_t index = (m_home + step) % m_sites.size();
-        const Site &site = m_sites[index];
+    for (std::size_t step = 0; step < m_views.size(); ++step) {
+        const std::size_t index = (m_ownView + step) % m_views.size();
+        const ShareView &site = m_views[index];
         const bool reachable = !site.holder.empty() && site.holder != m_context.self.vm;
-        if (reachable && !site.tried && !m_context.suspected(site.holder)) {
+        if (reachable && !site.unanswered && !m_context.isSuspected(site.holder)) {
             send(index, urgent, urgent + extra, false);
             return;
         }
     }
     // All are under suspicion: ask the first that these requests have not tried.
-    for (std::size_t step = 0; step < m_sites.size(); ++step) {
-        const std::size_t index = (m_home + step) % m_sites.size();
-        const Site &site = m_sites[index];
-        if (!site.holder.empty() && site.holder != m_context.self.vm && !site.tried) {
+    for (std::size_t step = 0; step < m_views.size(); ++step) {
+        const std::size_t index = (m_ownView + step) % m_views.size();
+        const ShareView &site = m_views[index];
+        if (!site.holder.empty() && site.holder != m_context.self.vm && !site.unanswered) {
             send(index, urgent, urgent + extra, false);
             return;
         }
@@ -581,31 +583,31 @@
 /// Asks the other shares, those first that probably have most, and no more of them than needed.
 void WorkspaceTokens::borrow(Tokens urgent, Tokens extra)
 {
-    if (m_rounds >= maxRounds) {
+    if (m_loanRounds >= maxRounds) {
         return;
     }
     const base::TimePoint now = m_context.clock.now();
     std::vector<std::size_t> lenders;
     Tokens expected = 0;
-    for (std::size_t index = 0; index < m_sites.size(); ++index) {
-        const Site &site = m_sites[index];
-        const bool reachable = !site.holder.empty() && site.holder != m_context.self.vm && !site.tried;
-        const bool promising = expectedAt(site) >= crumb || now - site.toldAt >= staleAfter;
-        if (reachable && promising && now >= site.busyUntil && !m_context.suspected(site.holder)) {
+    for (std::size_t index = 0; index < m_views.size(); ++index) {
+        const ShareView &site = m_views[index];
+        const bool reachable = !site.holder.empty() && site.holder != m_context.self.vm && !site.unanswered;
+        const bool promising = expectedLevel(site) >= crumb || now - site.levelReceivedAt >= staleAfter;
+        if (reachable && promising && now >= site.busyUntil && !m_context.isSuspected(site.holder)) {
             lenders.push_back(index);
-            expected += expectedAt(site);
+            expected += expectedLevel(site);
         }
     }
     std::sort(lenders.begin(), lenders.end(), [this](std::size_t a, std::size_t b) {
-        return expectedAt(m_sites[a]) > expectedAt(m_sites[b]);
+        return expectedLevel(m_views[a]) > expectedLevel(m_views[b]);
     });
     if (!lenders.empty()) {
-        ++m_rounds;
+        ++m_loanRounds;
     }
     const bool enough = expected >= urgent + extra;
     Tokens left = urgent;
     for (const std::size_t index : lenders) {
-        const Tokens part = enough ? std::min(left, expectedAt(m_sites[index])) : urgent;
+        const Tokens part = enough ? std::min(left, expectedLevel(m_views[index])) : urgent;
         const Tokens share = extra / static_cast<Tokens>(lenders.size());
         if (part + share > 0) {
             send(index, part, part + share, true);
@@ -618,16 +620,16 @@
 {
     PendingAsk ask;
     ask.id = ++m_context.lastAsk;
-    ask.site = site;
-    ask.to = m_sites[site].holder;
+    ask.view = site;
+    ask.to = m_views[site].holder;
     ask.urgent = urgent;
     ask.wanted = wanted;
     ask.loan = loan;
     ask.askedAt = m_context.clock.now();
     m_asks.push_back(ask);
-    m_context.askOwners.emplace(ask.id, m_id);
+    m_context.askWorkspaces.emplace(ask.id, m_id);
     m_context.outbox.ask(ask.to, TokenAsk{m_id, ask.id, urgent, wanted, loan});
-    for (const GrantUse &use : m_wallet.rideAlong(m_id, ask.to)) {
+    for (const GrantUse &use : m_lots.takeReportsFor(m_id, ask.to)) {
         m_context.outbox.report(ask.to, use);
     }
     ++m_context.counters.asksSent;
@@ -636,39 +638,39 @@
 /// Asks before the tokens run out, so that the requests of a busy workspace wait for no round trip.
 void WorkspaceTokens::prefetch()
 {
-    if (m_sites.empty() || asking() || overloaded()) {
+    if (m_views.empty() || hasOpenAsks() || isOverloaded()) {
         return;
     }
     const base::TimePoint now = m_context.clock.now();
-    const bool gatherer = gathers();
-    const double demand = m_seen.perSecond(now) * static_cast<double>(oneToken);
-    const double uncoveredDemand = gatherer ? demand - m_sites[m_home].rate : demand;
+    const bool gatherer = isGatherer();
+    const double demand = m_requestedRate.perSecond(now) * static_cast<double>(oneToken);
+    const double uncoveredDemand = gatherer ? demand - m_views[m_ownView].rate : demand;
     const Tokens horizon = wholeOnly(yield(std::max(0.0, uncoveredDemand), m_context.settings.prefetch));
     const Tokens low = yield(demand * prefetchRefill, m_context.settings.prefetch);
     if (horizon < oneToken || available() >= low) {
         return;
     }
     if (gatherer) {
-        m_rounds = 0;
+        m_loanRounds = 0;
         borrow(0, horizon);
     } else {
         askEntryHolder(0, horizon);
     }
 }
 
-bool WorkspaceTokens::asking() const
+bool WorkspaceTokens::hasOpenAsks() const
 {
     return std::any_of(m_asks.begin(), m_asks.end(), [](const PendingAsk &ask) { return !ask.timedOut; });
 }
 
-void WorkspaceTokens::answer(const Need &need, Tokens amount)
+void WorkspaceTokens::answer(const Waiter &need, Tokens amount)
 {
     GrantAnswer answer;
-    answer.ask = need.ask;
+    answer.askId = need.askId;
     const Tokens granted = grantParts(answer, amount);
     answer.level = ownLevel();
-    answer.busy = overloaded();
-    answer.settleWithin = settleWithin();
+    answer.busy = isOverloaded();
+    answer.reportWithin = reportWithin();
     if (granted < need.urgent) {
         answer.retryAfter = toMicroseconds(std::clamp(retryAfter(), shortestRetryAfter, longestRetryAfter));
     }
@@ -685,7 +687,7 @@
     const BrokerSettings &settings = m_context.settings;
     Tokens granted = 0;
     while (granted < amount) {
-        const auto sublease = m_wallet.lend(m_context.lastGrant + 1, amount - granted, now);
+        const auto sublease = m_lots.lend(m_context.lastGrant + 1, amount - granted, now);
         if (!sublease) {
             break;
         }
@@ -708,15 +710,15 @@
 void WorkspaceTokens::answerLoan(const base::VmId &from, base::Incarnation incarnation, const TokenAsk &ask)
 {
     const base::TimePoint now = m_context.clock.now();
-    Tokens spare = overloaded() ? 0 : ownLevel();
-    for (const Need &need : m_needs) {
+    Tokens spare = isOverloaded() ? 0 : ownLevel();
+    for (const Waiter &need : m_waiters) {
         spare -= need.urgent;
     }
     const Tokens urgent = std::clamp<Tokens>(spare, 0, ask.urgent);
     const Tokens extra = std::min(ask.wanted - urgent, std::max<Tokens>(0, spare - urgent) / extraDivisor);
     const Tokens amount = urgent + extra;
     GrantAnswer answer;
-    answer.ask = ask.ask;
+    answer.askId = ask.askId;
     if (amount > 0) {
         const BrokerSettings &settings = m_context.settings;
         m_share->grant(++m_context.lastGrant, amount, now + surelyExpired(settings, settings.grantValidity));
@@ -725,8 +727,8 @@
         m_context.counters.tokensLent += wholeTokens(amount);
     }
     answer.level = ownLevel();
-    answer.busy = overloaded();
-    answer.settleWithin = settleWithin();
+    answer.busy = isOverloaded();
+    answer.reportWithin = reportWithin();
     m_context.outbox.answer(from, incarnation, answer);
     VLOG(1) << "limits: Lent tokens to another share." << base::field("workspace", m_id) << base::field("to", from)
             << base::field("amount", wholeTokens(amount)) << base::field("level", wholeTokens(answer.level));
@@ -734,12 +736,12 @@
 
 /// A grant takes its place in the burst until it is reported. Where the share would fill meanwhile, reports must come
 /// soon, or part of the rate is lost.
-std::uint32_t WorkspaceTokens::settleWithin() const
+std::uint32_t WorkspaceTokens::reportWithin() const
 {
-    if (m_home >= m_sites.size() || m_sites[m_home].rate <= 0) {
+    if (m_ownView >= m_views.size() || m_views[m_ownView].rate <= 0) {
         return 0;
     }
-    const Site &site = m_sites[m_home];
+    const ShareView &site = m_views[m_ownView];
     const std::chrono::duration<double> fill(static_cast<double>(site.burst) / site.rate);
     if (fill >= slowFill * m_context.settings.grantValidity) {
         return 0;
@@ -749,9 +751,10 @@
 }
 
 /// What the share of `site` probably has now.
-Tokens WorkspaceTokens::expectedAt(const Site &site) const
+Tokens WorkspaceTokens::expectedLevel(const ShareView &site) const
 {
-    const base::Duration age = std::min<base::Duration>(m_context.clock.now() - site.toldAt, longestRetryAfter);
+    const base::Duration age
+        = std::min<base::Duration>(m_context.clock.now() - site.levelReceivedAt, longestRetryAfter);
     return std::min(site.burst, site.level + yield(site.rate, age));
 }
 
@@ -759,9 +762,9 @@
 base::Duration WorkspaceTokens::retryAfter() const
 {
     Tokens together = available();
-    for (const Site &site : m_sites) {
+    for (const ShareView &site : m_views) {
         if (site.holder != m_context.self.vm && m_context.clock.now() >= site.busyUntil) {
-            together += expectedAt(site);
+            together += expectedLevel(site);
         }
     }
     if (together >= oneToken || m_rate <= 0) {
@@ -773,11 +776,11 @@
 }
 
 /// The workspace sends so much more than it may that asking for each request would be in vain.
-bool WorkspaceTokens::overloaded() const
+bool WorkspaceTokens::isOverloaded() const
 {
     const base::TimePoint now = m_context.clock.now();
-    const double failed = m_failed.perSecond(now);
-    return failed >= overloadEvents && failed >= overloadFraction * m_seen.perSecond(now);
+    const double failed = m_refusedRate.perSecond(now);
+    return failed >= overloadEvents && failed >= overloadFraction * m_requestedRate.perSecond(now);
 }
 
 }
--- a/src/limits/workspacetokens.h
+++ b/src/limits/workspacetokens.h
@@ -2,8 +2,8 @@
 
 #include "brokercontext.h"
 #include "decayingrate.h"
+#include "lotstore.h"
 #include "tokenshare.h"
-#include "wallet.h"
 
 #include <memory>
 #include <optional>
@@ -40,7 +40,7 @@
     base::TimePoint nextDue() const;
 
     /// Nothing would be lost by forgetting this workspace.
-    bool idle() const;
+    bool isIdle() const;
     /// This node holds a share of it.
     bool holdsShare() const;
 
@@ -53,26 +53,26 @@
 
 private:
     /// One share, as seen from here.
-    struct Site
+    struct ShareView
     {
         base::ZoneId zone;
         base::VmId holder;
         double rate = 0; ///< Tokens (billionths) per second.
         Tokens burst = 0;
         Tokens level = 0; ///< When last told.
-        base::TimePoint toldAt; ///< Long ago: never told, taken for full.
+        base::TimePoint levelReceivedAt; ///< Long ago: never told, taken for full.
         base::TimePoint busyUntil;
-        bool tried = false; ///< Did not answer the requests that wait now.
+        bool unanswered = false; ///< Did not answer the requests that wait now.
     };
 
     /// Somebody who waits for tokens here: a request, or the ask of another node.
-    struct Need
+    struct Waiter
     {
         bool remote = false;
         base::RequestId request;
         base::VmId from;
         base::Incarnation incarnation = 0;
-        std::uint64_t ask = 0;
+        std::uint64_t askId = 0;
         Tokens urgent = 0;
         Tokens wanted = 0;
         base::TimePoint until;
@@ -81,7 +81,7 @@
     struct PendingAsk
     {
         std::uint64_t id = 0;
-        std::size_t site = 0;
+        std::size_t view = 0;
         base::VmId to;
         Tokens urgent = 0;
         Tokens wanted = 0;
@@ -92,9 +92,9 @@
 
     base::TimePoint idleAt() const;
     void refresh();
-    void rebuildSites(const config::Workspace &workspace);
+    void rebuildViews(const config::Workspace &workspace);
     void refreshShare();
-    void checkShare(base::TimePoint now);
+    void updateShare(base::TimePoint now);
     void dropAll(base::ResultCode code);
     template<typename Condition>
     void forgetAsks(Condition condition);
@@ -102,51 +102,51 @@
     Tokens ownLevel() const;
     Tokens available() const;
     std::optional<Token> takeToken();
-    bool gathers() const;
+    bool isGatherer() const;
 
-    void resolve();
+    void serveWaiters();
     bool serveFirst();
     void refuseAll(base::ResultCode code);
-    void refuse(const Need &need, base::ResultCode code);
+    void refuse(const Waiter &need, base::ResultCode code);
     void refuseExpired();
 
-    void gather();
+    void requestMissing();
     Tokens uncovered() const;
     void askEntryHolder(Tokens urgent, Tokens extra);
     void borrow(Tokens urgent, Tokens extra);
     void send(std::size_t site, Tokens urgent, Tokens wanted, bool loan);
     void prefetch();
-    bool asking() const;
+    bool hasOpenAsks() const;
 
-    void answer(const Need &need, Tokens amount);
+    void answer(const Waiter &need, Tokens amount);
     Tokens grantParts(GrantAnswer &answer, Tokens amount);
     void answerLoan(const base::VmId &from, base::Incarnation incarnation, const TokenAsk &ask);
-    std::uint32_t settleWithin() const;
+    std::uint32_t reportWithin() const;
 
-    Tokens expectedAt(const Site &site) const;
+    Tokens expectedLevel(const ShareView &site) const;
     base::Duration retryAfter() const;
-    bool overloaded() const;
+    bool isOverloaded() const;
 
     base::WorkspaceId m_id;
     BrokerContext &m_context;
     std::uint64_t m_topology = 0;
     std::uint64_t m_term = 0;
     double m_rate = 0;
-    std::vector<Site> m_sites;
-    std::size_t m_home = 0; ///< The site that this node turns to.
+    std::vector<ShareView> m_views;
+    std::size_t m_ownView = 0; ///< The site that this node turns to.
     std::unique_ptr<TokenShare> m_share;
     base::TimePoint m_shareSince; ///< The share was empty then.
     bool m_shareChecked = false; ///< Since the last change of list or configuration.
-    Wallet m_wallet;
-    std::vector<Need> m_needs; ///< In the order of their coming.
+    LotStore m_lots;
+    std::vector<Waiter> m_waiters; ///< In the order of their coming.
     std::vector<PendingAsk> m_asks;
     bool m_answeredShort = false; ///< For the requests that wait now, a holder said that there is no more.
-    int m_rounds = 0; ///< Rounds of loans asked for the requests that wait now.
-    base::Duration m_toldRetryAfter{}; ///< What the holder said last.
+    int m_loanRounds = 0; ///< Rounds of loans asked for the requests that wait now.
+    base::Duration m_receivedRetryAfter{}; ///< What the holder said last.
     base::TimePoint m_refusedUntil; ///< Asking before would be in vain.
     base::TimePoint m_lastUse;
-    DecayingRate m_seen; ///< Tokens that were asked for here.
-    DecayingRate m_failed; ///< Of these, refused.
+    DecayingRate m_requestedRate; ///< Tokens that were asked for here.
+    DecayingRate m_refusedRate; ///< Of these, refused.
 };
 
 }
--- a/src/limits/zonetenure.cpp
+++ b/src/limits/zonetenure.cpp
@@ -36,12 +36,12 @@
 
 }
 
-ZoneTenure::ZoneTenure(const BrokerSelf &self, const base::Clock &clock, const BrokerSettings &settings)
+ZoneTenure::ZoneTenure(const NodeIdentity &self, const base::Clock &clock, const BrokerSettings &settings)
     : m_self(self)
     , m_clock(clock)
     , m_settings(settings)
     , m_unchangedSince(clock.now())
-    , m_outSince(clock.now())
+    , m_withoutProofSince(clock.now())
 {
 }
 
@@ -65,14 +65,14 @@
         if (hash != m_membersHash) {
             adoptMembers(std::move(members));
         }
-        learnOf(m_version, m_membersHash);
+        recordKnownList(m_version, m_membersHash);
         m_lapsed = m_lapsed || skipped;
     }
     const base::TimePoint now = m_clock.now();
-    if (m_proven && !inProof(now)) {
+    if (m_proven && !hasFreshProof(now)) {
         m_lapsed = true;
     }
-    if (!m_lapsed && !contradicted()) {
+    if (!m_lapsed && !isSuperseded()) {
         m_provenAt = std::max(m_provenAt, std::min(heardAt, now));
     }
 }
@@ -80,20 +80,20 @@
 bool ZoneTenure::mayGrant()
 {
     const base::TimePoint now = m_clock.now();
-    if (!m_lapsed && !inProof(now)) {
+    if (!m_lapsed && !hasFreshProof(now)) {
         m_lapsed = true;
         ++m_lapses;
         PAPAYASTEP_LOG(INFO, "limits") << "Stopped granting for want of proof." << base::field("vm", m_self.vm);
     }
-    if (m_lapsed && listed() && (!m_round.open || now - m_round.askedAt >= askAgainAfter)) {
+    if (m_lapsed && isListed() && (!m_round.open || now - m_round.askedAt >= askAgainAfter)) {
         ask();
     }
-    return !m_lapsed && listed() && !contradicted();
+    return !m_lapsed && isListed() && !isSuperseded();
 }
 
 std::optional<base::TimePoint> ZoneTenure::heldSince(const base::WorkspaceId &workspace) const
 {
-    if (!m_base || !listed()) {
+    if (!m_heldSince || !isListed()) {
         return std::nullopt;
     }
     const std::uint64_t mine = base::rendezvousWeight(workspace.value(), m_self.vm.value());
@@ -102,22 +102,22 @@
             return std::nullopt;
         }
     }
-    base::TimePoint since = *m_base;
+    base::TimePoint since = *m_heldSince;
     for (const auto &[vm, index] : m_removed) {
         if (base::rendezvousWeight(workspace.value(), vm.value()) < mine) {
             continue;
         }
-        if (!m_changes[index].settledAt) {
+        if (!m_changes[index].confirmedAt) {
             return std::nullopt;
         }
-        since = std::max(since, *m_changes[index].settledAt + guard());
+        since = std::max(since, *m_changes[index].confirmedAt + takeoverDelay());
     }
     return since;
 }
 
-bool ZoneTenure::isSettled() const
+bool ZoneTenure::isReady() const
 {
-    return m_base && m_clock.now() >= *m_base;
+    return m_heldSince && m_clock.now() >= *m_heldSince;
 }
 
 std::uint64_t ZoneTenure::term() const
@@ -127,12 +127,12 @@
 
 void ZoneTenure::receive(const base::VmId &from, base::Incarnation incarnation, const TenureQuery &query)
 {
-    learnOf(query.listVersion, query.members);
+    recordKnownList(query.listVersion, query.membersHash);
     TenureAnswer answer;
     answer.asker = incarnation;
-    answer.query = query.query;
+    answer.queryId = query.queryId;
     answer.listVersion = m_knownVersion;
-    answer.members = m_knownHash;
+    answer.membersHash = m_knownHash;
     answer.unchangedFor = microseconds(m_clock.now() - m_unchangedSince);
     m_outbox.push_back(wire::outgoing(from, wire::MessageKind::TenureAnswer, answer));
 }
@@ -140,47 +140,47 @@
 void ZoneTenure::receive(const base::VmId &from, const TenureAnswer &answer)
 {
     const bool witness = std::find(m_witnesses.begin(), m_witnesses.end(), from) != m_witnesses.end();
-    if (answer.asker != m_self.incarnation || !m_round.open || answer.query != m_round.number || !witness) {
+    if (answer.asker != m_self.incarnation || !m_round.open || answer.queryId != m_round.number || !witness) {
         return;
     }
-    learnOf(answer.listVersion, answer.members);
-    if (answer.members != m_membersHash) {
+    recordKnownList(answer.listVersion, answer.membersHash);
+    if (answer.membersHash != m_membersHash) {
         return;
     }
     m_round.agreed.insert(from);
     m_round.unchangedFor = std::min(m_round.unchangedFor, fromMicroseconds(answer.unchangedFor));
-    countVotes();
+    evaluateRound();
 }
 
 void ZoneTenure::restart()
 {
     ++m_term;
-    m_outSince = m_clock.now();
+    m_withoutProofSince = m_clock.now();
     m_proven = false;
     m_lapsed = true;
-    m_base.reset();
+    m_heldSince.reset();
     m_changes.clear();
     m_removed.clear();
-    m_round = Round{m_round.number, m_outSince, {}, base::Duration::max(), false};
+    m_round = QueryRound{m_round.number, m_withoutProofSince, {}, base::Duration::max(), false};
 }
 
 void ZoneTenure::tick()
 {
     const base::TimePoint now = m_clock.now();
-    const bool unsettled = !m_base || (!m_changes.empty() && !m_changes.back().settledAt);
+    const bool unsettled = !m_heldSince || (!m_changes.empty() && !m_changes.back().confirmedAt);
     const bool old = now - m_provenAt >= m_settings.evidenceLifetime / 2;
     const bool waiting = m_round.open && now - m_round.askedAt < askAgainAfter;
-    if (listed() && !waiting && (unsettled || m_lapsed || old)) {
+    if (isListed() && !waiting && (unsettled || m_lapsed || old)) {
         ask();
     }
 }
 
 std::optional<base::TimePoint> ZoneTenure::nextTick(bool active) const
 {
-    if (!listed()) {
+    if (!isListed()) {
         return std::nullopt;
     }
-    const bool unsettled = !m_base || (!m_changes.empty() && !m_changes.back().settledAt);
+    const bool unsettled = !m_heldSince || (!m_changes.empty() && !m_changes.back().confirmedAt);
     if (unsettled || (active && m_lapsed)) {
         return m_round.open ? m_round.askedAt + askAgainAfter : m_clock.now();
     }
@@ -201,23 +201,23 @@
     return m_lapses;
 }
 
-bool ZoneTenure::listed() const
+bool ZoneTenure::isListed() const
 {
     return std::binary_search(m_members.begin(), m_members.end(), m_self.vm);
 }
 
 /// A newer list with other VMs in the zone is known to exist, but not held yet.
-bool ZoneTenure::contradicted() const
+bool ZoneTenure::isSuperseded() const
 {
     return m_knownVersion > m_version && m_knownHash != m_membersHash;
 }
 
-bool ZoneTenure::inProof(base::TimePoint now) const
+bool ZoneTenure::hasFreshProof(base::TimePoint now) const
 {
     return m_proven && now - m_provenAt <= m_settings.evidenceLifetime;
 }
 
-void ZoneTenure::learnOf(std::uint64_t version, std::uint64_t members)
+void ZoneTenure::recordKnownList(std::uint64_t version, std::uint64_t members)
 {
     if (version <= m_knownVersion) {
         return;
@@ -231,12 +231,12 @@
 
 void ZoneTenure::adoptMembers(std::vector<base::VmId> members)
 {
-    const bool wasListed = listed();
+    const bool wasListed = isListed();
     const std::vector<base::VmId> before = std::exchange(m_members, std::move(members));
     m_membersHash = hashOf(m_members);
     chooseWitnesses();
     m_round.open = false;
-    if (!wasListed || !listed() || m_changes.size() >= maxRemembered) {
+    if (!wasListed || !isListed() || m_changes.size() >= maxRemembered) {
         restart();
         return;
     }
@@ -266,58 +266,59 @@
 void ZoneTenure::ask()
 {
     const TenureQuery query{m_round.number + 1, m_version, m_membersHash};
-    m_round = Round{query.query, m_clock.now(), {}, base::Duration::max(), true};
+    m_round = QueryRound{query.queryId, m_clock.now(), {}, base::Duration::max(), true};
     for (const base::VmId &witness : m_witnesses) {
         if (witness != m_self.vm) {
             m_outbox.push_back(wire::outgoing(witness, wire::MessageKind::TenureQuery, query));
-        } else if (!contradicted()) {
+        } else if (!isSuperseded()) {
             m_round.agreed.insert(witness);
         }
     }
-    countVotes();
+    evaluateRound();
 }
 
-void ZoneTenure::countVotes()
+void ZoneTenure::evaluateRound()
 {
-    if (contradicted() || m_round.agreed.size() < quorum()) {
+    if (isSuperseded() || m_round.agreed.size() < quorum()) {
         return;
     }
     const base::TimePoint now = m_clock.now();
     const std::size_t others = m_round.agreed.size() - m_round.agreed.count(m_self.vm);
     // The own word counts nothing for a time of which this process knows nothing.
     const bool othersSuffice
-        = m_members.size() == 1 ? m_base.has_value() : others >= std::min(quorum(), m_members.size() - 1);
-    const base::Duration away = now - m_outSince;
-    if (!m_base) {
-        const bool nobodyStoodIn = othersSuffice && m_round.unchangedFor >= away + guard();
-        m_base = nobodyStoodIn ? m_outSince + surelyExpired(m_settings, m_settings.grantValidity) : now + guard();
+        = m_members.size() == 1 ? m_heldSince.has_value() : others >= std::min(quorum(), m_members.size() - 1);
+    const base::Duration away = now - m_withoutProofSince;
+    if (!m_heldSince) {
+        const bool nobodyStoodIn = othersSuffice && m_round.unchangedFor >= away + takeoverDelay();
+        m_heldSince = nobodyStoodIn ? m_withoutProofSince + surelyExpired(m_settings, m_settings.grantValidity)
+                                    : now + takeoverDelay();
         PAPAYASTEP_LOG(INFO, "limits") << "Settled as holder." << base::field("vm", m_self.vm)
                                        << base::field("list", m_version) << base::field("guarded", !nobodyStoodIn);
     } else if (m_lapsed && m_proven) {
         // Nobody can have stood in if the witnesses saw no change since well before the last proof.
-        const bool nobodyStoodIn = othersSuffice && m_round.unchangedFor >= now - m_provenAt + guard();
+        const bool nobodyStoodIn = othersSuffice && m_round.unchangedFor >= now - m_provenAt + takeoverDelay();
         if (!nobodyStoodIn) {
             restart();
-            m_base = now + guard();
+            m_heldSince = now + takeoverDelay();
         }
     }
     m_lapsed = false;
     m_proven = true;
     m_provenAt = std::max(m_provenAt, m_round.askedAt);
-    settle(now);
+    confirmChanges(now);
 }
 
-void ZoneTenure::settle(base::TimePoint now)
+void ZoneTenure::confirmChanges(base::TimePoint now)
 {
     for (Change &change : m_changes) {
-        if (!change.settledAt) {
-            change.settledAt = now;
+        if (!change.confirmedAt) {
+            change.confirmedAt = now;
         }
     }
     m_round.open = m_round.agreed.size() < m_witnesses.size() && m_round.open;
 }
 
-base::Duration ZoneTenure::guard() const
+base::Duration ZoneTenure::takeoverDelay() const
 {
     // The proof runs out on one clock, the grants made on it on another.
     return surelyExpired(m_settings, m_settings.evidenceLifetime) + surelyExpired(m_settings, m_settings.grantValidity);
--- a/src/limits/zonetenure.h
+++ b/src/limits/zonetenure.h
@@ -27,7 +27,7 @@
 class ZoneTenure
 {
 public:
-    ZoneTenure(const BrokerSelf &self, const base::Clock &clock, const BrokerSettings &settings);
+    ZoneTenure(const NodeIdentity &self, const base::Clock &clock, const BrokerSettings &settings);
 
     /// A newer list, or the one in force read again. `heardAt`: when the platform was asked.
     void applyList(const config::VmList &list, base::TimePoint heardAt);
@@ -40,7 +40,7 @@
     std::optional<base::TimePoint> heldSince(const base::WorkspaceId &workspace) const;
 
     /// Whether the wait after a start or a lapse is over, so that this VM holds what the list gives it.
-    bool isSettled() const;
+    bool isReady() const;
 
     /// Rises when all that was held before must be forgotten.
     std::uint64_t term() const;
@@ -62,10 +62,10 @@
     /// A change of the zone's VMs that has been seen.
     struct Change
     {
-        base::TimePoint seenAt;
-        std::optional<base::TimePoint> settledAt; ///< When a quorum of witnesses knew of it.
+        base::TimePoint detectedAt;
+        std::optional<base::TimePoint> confirmedAt; ///< When a quorum of witnesses knew of it.
     };
-    struct Round
+    struct QueryRound
     {
         std::uint64_t number = 0;
         base::TimePoint askedAt;
@@ -74,19 +74,19 @@
         bool open = false;
     };
 
-    bool listed() const;
-    bool contradicted() const;
-    bool inProof(base::TimePoint now) const;
-    void learnOf(std::uint64_t version, std::uint64_t members);
+    bool isListed() const;
+    bool isSuperseded() const;
+    bool hasFreshProof(base::TimePoint now) const;
+    void recordKnownList(std::uint64_t version, std::uint64_t members);
     void adoptMembers(std::vector<base::VmId> members);
     void chooseWitnesses();
     std::size_t quorum() const;
     void ask();
-    void countVotes();
-    void settle(base::TimePoint now);
-    base::Duration guard() const;
+    void evaluateRound();
+    void confirmChanges(base::TimePoint now);
+    base::Duration takeoverDelay() const;
 
-    BrokerSelf m_self;
+    NodeIdentity m_self;
     const base::Clock &m_clock;
     const BrokerSettings &m_settings;
     std::vector<base::VmId> m_members; ///< VMs of the own zone that are not leaving, sorted.
@@ -96,14 +96,14 @@
     std::uint64_t m_knownVersion = 0; ///< The newest list heard of, perhaps not held.
     std::uint64_t m_knownHash = 0;
     base::TimePoint m_unchangedSince;
-    base::TimePoint m_outSince; ///< Start of the process, or of the time without proof.
+    base::TimePoint m_withoutProofSince; ///< Start of the process, or of the time without proof.
     base::TimePoint m_provenAt;
     bool m_proven = false; ///< m_provenAt is set.
     bool m_lapsed = true; ///< Proof ran out; only a quorum can end it.
-    std::optional<base::TimePoint> m_base; ///< Nothing is held before it. Empty: the start is not settled.
+    std::optional<base::TimePoint> m_heldSince; ///< Nothing is held before it. Empty: the start is not settled.
     std::vector<Change> m_changes;
     std::map<base::VmId, std::size_t> m_removed; ///< VM that left the zone -> index in m_changes.
-    Round m_round;
+    QueryRound m_round;
     std::uint64_t m_term = 0;
     std::uint64_t m_lapses = 0;
     std::vector<wire::Outgoing> m_outbox;
--- a/src/node/collectmetrics.cpp
+++ b/src/node/collectmetrics.cpp
@@ -84,12 +84,12 @@
 void Node::collectDecisions()
 {
     NodeMetrics &metrics = m_context.metrics;
-    const limits::BrokerCounters &tokens = m_context.tokens.counters();
+    const limits::LimiterCounters &tokens = m_context.tokens.counters();
     metrics.setTotal("tokens_admitted", real(tokens.admitted));
     metrics.setTotal("tokens_admitted_waiting", real(tokens.admittedWaiting));
-    metrics.setTotal("tokens_admitted_alone", real(tokens.admittedAlone));
+    metrics.setTotal("tokens_admitted_alone", real(tokens.admittedLocally));
     metrics.setTotal("tokens_refused", real(tokens.refused));
-    metrics.setTotal("tokens_refused_silent", real(tokens.refusedSilent));
+    metrics.setTotal("tokens_refused_silent", real(tokens.refusedUnanswered));
     metrics.setTotal("tokens_given_back", real(tokens.givenBack));
     metrics.setTotal("tokens_granted", tokens.tokensGranted);
     metrics.setTotal("tokens_lent", tokens.tokensLent);
--- a/src/node/entryrequest.cpp
+++ b/src/node/entryrequest.cpp
@@ -248,7 +248,7 @@
         }
     }
     if (const auto *refused = std::get_if<limits::Refused>(&admission)) {
-        m_tokensRefusedBy = refused->silent ? "nobody-answered" : refused->by.value();
+        m_tokensRefusedBy = refused->unanswered ? "nobody-answered" : refused->decidedBy.value();
         co_return notRun(refused->code, refused->retryAfter);
     }
     m_token = std::get<limits::Admitted>(admission).token;
--- a/src/node/nodecontext.cpp
+++ b/src/node/nodecontext.cpp
@@ -19,7 +19,7 @@
                                                      base::Incarnation incarnation,
                                                      const base::Clock &clock)
 {
-    const limits::BrokerSelf self{settings.vm, settings.zone, incarnation};
+    const limits::NodeIdentity self{settings.vm, settings.zone, incarnation};
     if (settings.rateLimits == RateLimitChoice::Pooled) {
         return std::make_unique<limits::PooledLimiter>(self, clock);
     }
--- a/src/node/nodepages.cpp
+++ b/src/node/nodepages.cpp
@@ -110,7 +110,7 @@
     // A rolling restart goes on to the next node when this one is ready. If that were before the shares of this VM are
     // in its hands, a few restarts in a row would leave no holder that may grant, and callers inside their rate be
     // refused.
-    const bool settled = m_context.tokens.isSettled() || m_context.clock.now() >= m_readyAtLatest;
+    const bool settled = m_context.tokens.isReady() || m_context.clock.now() >= m_readyAtLatest;
     const bool ready = m_life.state() == NodeState::Serving && settled;
     const auto status = ready ? net::http::status::ok : net::http::status::service_unavailable;
     return net::jsonAnswer(
--- a/src/node/servingnode.cpp
+++ b/src/node/servingnode.cpp
@@ -19,9 +19,9 @@
 limits::SlotQueueSettings queueSettings()
 {
     limits::SlotQueueSettings settings;
-    settings.roomForRun = 0.7;
-    settings.lateness = 0.3;
-    settings.slackForWaiting = 0.25;
+    settings.runTimeReserve = 0.7;
+    settings.maxLateness = 0.3;
+    settings.maxWaitFraction = 0.25;
     return settings;
 }
 
@@ -204,7 +204,7 @@
     }
     Lane &lane = *laneOf(work->hop.server);
     noteEntry(lane, work->hop.entry);
-    const limits::Verdict verdict = lane.queue.offer(offerOf(*work));
+    const limits::OfferResult verdict = lane.queue.offer(offerOf(*work));
     if (!verdict.accepted) {
         m_registry.drop({work->hop.requestId(), static_cast<int>(work->hop.attempt)});
         co_return refusalOf(*work, verdict.code, verdict.retryAfter);
@@ -258,9 +258,9 @@
     wanted.priority = ask.priority;
     wanted.deadline = now + base::Duration(ask.remaining);
     if (ask.wantedIn > 0) {
-        wanted.wanted = now + base::Duration(ask.wantedIn);
+        wanted.wantedBy = now + base::Duration(ask.wantedIn);
     }
-    const limits::Verdict verdict = lane->queue.quote(wanted);
+    const limits::OfferResult verdict = lane->queue.quote(wanted);
     offer.code = number(verdict.code);
     offer.held = refused.has_value();
     offer.waitMicros = static_cast<std::uint32_t>(microseconds(verdict.retryAfter));
@@ -576,7 +576,7 @@
     offer.deadline = work.deadline;
     offer.priority = work.hop.priority;
     if (work.hop.wantedIn > 0) {
-        offer.wanted = work.deadline - base::Duration(work.hop.remaining - work.hop.wantedIn);
+        offer.wantedBy = work.deadline - base::Duration(work.hop.remaining - work.hop.wantedIn);
     }
     return offer;
 }
