--- a/src/routing/attemptregistry_test.cpp
+++ b/src/routing/attemptregistry_test.cpp
@@ -15,7 +15,7 @@
     AttemptRegistry registry{clock, AttemptRegistrySettings{10, 3}};
     base::VmId entry{"entry"};
 
-    /// The entry's clock runs apart from ours by a fixed difference.
+    /// Returns a stamp of the entry, whose clock differs from the registry's by a fixed offset.
     SentStamp stampOf(base::Duration ago = 0s) const
     {
         return SentStamp{entry, 1, clock.now().time_since_epoch() - ago + 77h};
@@ -24,7 +24,7 @@
     {
         return AttemptId{base::RequestId{0, static_cast<std::uint64_t>(number)}, attempt};
     }
-    RegistrationResult begin(int number, base::Duration remaining = 5s, base::Duration ago = 0s)
+    RegistrationResult registerAttempt(int number, base::Duration remaining = 5s, base::Duration ago = 0s)
     {
         return registry.registerAttempt(id(number), stampOf(ago), remaining).result;
     }
@@ -36,10 +36,10 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(registry_withAttempt_followsIt, RegistryFixture)
+BOOST_FIXTURE_TEST_CASE(registry_withAttempt_tracksItsState, RegistryFixture)
 {
-    BOOST_TEST((begin(1) == RegistrationResult::Accepted));
-    BOOST_TEST((begin(1) == RegistrationResult::Replayed));
+    BOOST_TEST((registerAttempt(1) == RegistrationResult::Accepted));
+    BOOST_TEST((registerAttempt(1) == RegistrationResult::Replayed));
     BOOST_TEST(registry.start(id(1)));
     BOOST_TEST(!registry.start(id(1)));
     BOOST_TEST((cancel(1) == CancelAnswer::Started));
@@ -49,29 +49,29 @@
 
 BOOST_FIXTURE_TEST_CASE(registry_withQueuedAttemptCancelled_neverStartsIt, RegistryFixture)
 {
-    begin(1);
+    registerAttempt(1);
     BOOST_TEST((cancel(1) == CancelAnswer::NeverStarted));
     BOOST_TEST(!registry.start(id(1)));
 }
 
-// The hop is slow and the cancel overtakes it. The entry has told the caller not-run by the time the hop arrives, so
-// running it then would pay a refund that was refused.
+// The hop is delayed and the cancel arrives first. The entry has answered the caller with not-run when the hop arrives,
+// so that running it would pay a refund that was refused.
 BOOST_FIXTURE_TEST_CASE(registry_withCancelBeforeAttempt_refusesTheAttempt, RegistryFixture)
 {
     BOOST_TEST((cancel(1) == CancelAnswer::NeverStarted));
     clock.advance(4s);
-    BOOST_TEST((begin(1, 5s, 4s) == RegistrationResult::Cancelled));
+    BOOST_TEST((registerAttempt(1, 5s, 4s) == RegistrationResult::Cancelled));
 }
 
-// The hop is held up for far longer than the request's deadline, by a paused process or a sick network. The promise
-// not to start it is forgotten by then, but the delay shows against the clock that the cancel brought.
-RC_BOOST_FIXTURE_PROP(registry_withAttemptLateByAnyTime_neverRunsItAfterAPromise, RegistryFixture, ())
+// A paused process or a network fault delays the hop for far longer than the request's deadline. The record of the
+// cancel is removed by then, but the sending time of the cancel shows that the hop is late.
+RC_BOOST_FIXTURE_PROP(registry_withAttemptLateByAnyTime_neverRunsItAfterItsCancel, RegistryFixture, ())
 {
     const base::Duration remaining = std::chrono::milliseconds(*rc::gen::inRange(1, 10'000));
     const base::Duration cancelAfter = std::chrono::milliseconds(*rc::gen::inRange(0, 10'000));
     const base::Duration late = std::chrono::milliseconds(*rc::gen::inRange(0, 100'000));
     if (*rc::gen::arbitrary<bool>()) {
-        begin(2);
+        registerAttempt(2);
         clock.advance(1s);
     }
     const auto sent = stampOf();
@@ -83,19 +83,19 @@
     RC_ASSERT(result == RegistrationResult::Cancelled || result == RegistrationResult::TooLate);
 }
 
-// A request waits in a queue past its deadline. Its caller has gone, so running it would only do harm.
+// A request waits in a queue until after its deadline. Its caller has disconnected, so running it would only do harm.
 BOOST_FIXTURE_TEST_CASE(registry_withDeadlinePassedInQueue_doesNotStart, RegistryFixture)
 {
-    begin(1, 5s);
+    registerAttempt(1, 5s);
     clock.advance(5s);
     BOOST_TEST(!registry.start(id(1)));
 }
 
-// A node hands a queued request to a sibling, and the entry asks the first to cancel. `Never started` would be
-// false: the sibling may be running it.
-BOOST_FIXTURE_TEST_CASE(registry_afterHandOver_makesNoPromise, RegistryFixture)
+// A node hands a queued request over to a sibling, and the entry sends the node a cancel. The answer `never started`
+// would be wrong, as the sibling may be running the request.
+BOOST_FIXTURE_TEST_CASE(registry_afterHandOver_doesNotConfirmTheCancel, RegistryFixture)
 {
-    begin(1);
+    registerAttempt(1);
     BOOST_TEST(registry.handOver(id(1)));
     BOOST_TEST((cancel(1) == CancelAnswer::HandedOver));
     registry.drop(id(1));
@@ -103,14 +103,14 @@
     BOOST_TEST(!registry.handOver(id(1)));
 }
 
-// Attempts and cancels come faster than their deadlines pass. Forgetting a promise to make room would break it, so
-// new attempts are refused, and cancels that can't be remembered get no promise.
-BOOST_FIXTURE_TEST_CASE(registry_whenFull_refusesInsteadOfForgetting, RegistryFixture)
+// Attempts and cancels arrive faster than their deadlines pass. If a cancel's record were removed to make room, its
+// attempt could still run. So new attempts are refused, and cancels that can't be recorded are not confirmed.
+BOOST_FIXTURE_TEST_CASE(registry_whenFull_refusesInsteadOfRemovingRecords, RegistryFixture)
 {
     for (int i = 0; i < 7; ++i) {
-        BOOST_TEST((begin(i) == RegistrationResult::Accepted));
+        BOOST_TEST((registerAttempt(i) == RegistrationResult::Accepted));
     }
-    BOOST_TEST((begin(100) == RegistrationResult::Full));
+    BOOST_TEST((registerAttempt(100) == RegistrationResult::Full));
     for (int i = 10; i < 13; ++i) {
         BOOST_TEST((cancel(i) == CancelAnswer::NeverStarted));
     }
@@ -119,10 +119,10 @@
     clock.advance(7s);
     registry.tick();
     BOOST_TEST(registry.size() == 0u);
-    BOOST_TEST((begin(100) == RegistrationResult::Accepted));
+    BOOST_TEST((registerAttempt(100) == RegistrationResult::Accepted));
 }
 
-BOOST_FIXTURE_TEST_CASE(hopDelay_withSlowMessage_showsItsDelay, RegistryFixture)
+BOOST_FIXTURE_TEST_CASE(hopDelay_withSlowMessage_returnsItsDelay, RegistryFixture)
 {
     HopDelay delay(clock);
     BOOST_TEST((delay.observe(stampOf(2ms)) == 0s));
--- a/src/routing/leastcostplacement.cpp
+++ b/src/routing/leastcostplacement.cpp
@@ -12,8 +12,8 @@
 
 /// Fraction by which answers take longer with all slots busy, as a nearly full server slows down.
 constexpr double fullLoadSlowdown = 0.5;
-/// Lower limit of the slow-start weight: a server that warms up is at most twice as slow. With the weight of a tenth it
-/// would get no work for seconds, while its siblings are full.
+/// Lower limit of the slow-start weight: a server that warms up counts as at most twice as slow. With the weight of a
+/// tenth it would get no work for seconds, while its siblings are full.
 constexpr double minWeight = 0.5;
 /// The limits by which the node beside the server decides.
 constexpr double heldRisk = health::FailureFilterSettings().holdAbove;
--- a/src/routing/leastcostplacement_test.cpp
+++ b/src/routing/leastcostplacement_test.cpp
@@ -31,8 +31,8 @@
             candidates.push_back(candidate);
         }
     }
-    /// How often each candidate is chosen of 1,000 times.
-    std::vector<int> shares()
+    /// Returns how often each candidate is chosen in 1,000 placements.
+    std::vector<int> choiceCounts()
     {
         std::vector<int> chosen(candidates.size());
         for (int i = 0; i < 1000; ++i) {
@@ -48,73 +48,74 @@
 
 BOOST_FIXTURE_TEST_CASE(leastCost_withFreeSlotsNearby_staysInTheZoneAndSpreads, PlacementFixture)
 {
-    const auto chosen = shares();
+    const auto chosen = choiceCounts();
     for (int i = 0; i < 3; ++i) {
         BOOST_TEST(chosen[i] > 200);
     }
     BOOST_TEST(chosen[3] + chosen[4] + chosen[5] == 0);
 }
 
-// The zone's servers are full and the others idle. Answers would come late for the sake of cheap bytes.
-BOOST_FIXTURE_TEST_CASE(leastCost_withTheZoneFull_goesElsewhere, PlacementFixture)
+// The servers of the own zone are full and the others are idle. To stay in the zone would save transfer costs, but make
+// answers late.
+BOOST_FIXTURE_TEST_CASE(leastCost_withTheZoneFull_choosesAnotherZone, PlacementFixture)
 {
     for (int i = 0; i < 3; ++i) {
         candidates[i].slotsInUse = 5;
         candidates[i].queueLength = 8;
     }
-    const auto chosen = shares();
+    const auto chosen = choiceCounts();
     BOOST_TEST(chosen[0] + chosen[1] + chosen[2] == 0);
 }
 
-// A server is in a gray spell. A refund that meets it is lost, and a lookup costs a repeat.
-BOOST_FIXTURE_TEST_CASE(leastCost_withAServerInASpell_avoidsIt, PlacementFixture)
+// A server is in a gray failure. A refund that is sent to it is lost, and a lookup costs a repeat.
+BOOST_FIXTURE_TEST_CASE(leastCost_withAServerInAGrayFailure_avoidsIt, PlacementFixture)
 {
     candidates[0].failureRisk = 0.9;
-    BOOST_TEST(shares()[0] == 0);
+    BOOST_TEST(choiceCounts()[0] == 0);
     request.idempotent = true;
-    BOOST_TEST(shares()[0] == 0);
+    BOOST_TEST(choiceCounts()[0] == 0);
 }
 
-// The hold of a server is over. Unless somebody asks it, nobody learns that it is well again.
-BOOST_FIXTURE_TEST_CASE(leastCost_withAHoldThatIsOver_sendsScoutsThatMayFail, PlacementFixture)
+// A server is no longer held back. Its recovery is detected only if it gets a request.
+BOOST_FIXTURE_TEST_CASE(leastCost_withAHoldThatIsOver_sendsOnlyIdempotentRequests, PlacementFixture)
 {
     candidates[4].failureRisk = 0.4;
-    BOOST_TEST(shares()[4] == 0);
+    BOOST_TEST(choiceCounts()[4] == 0);
     request.idempotent = true;
-    BOOST_TEST(shares()[4] > 0);
+    BOOST_TEST(choiceCounts()[4] > 0);
 }
 
-// One server of the zone answers a little later than the others. At light load the others have always room, so it would
-// get nothing, and how it is would be seen only when it is needed.
+// One server of the zone answers a little later than the others. At light load the others always have room, so it would
+// get no work, and its state would be detected only when it is needed.
 BOOST_FIXTURE_TEST_CASE(leastCost_withAServerLongWithoutWork_usesIt, PlacementFixture)
 {
     candidates[2].latency = 650ms;
-    BOOST_TEST(shares()[2] == 0);
+    BOOST_TEST(choiceCounts()[2] == 0);
     candidates[2].idle = 1s;
-    BOOST_TEST(shares()[2] > 100);
+    BOOST_TEST(choiceCounts()[2] > 100);
 }
 
-// It is without work because its hold has just ended. A refund must not be the one that shows whether it is well.
-BOOST_FIXTURE_TEST_CASE(leastCost_withADoubtfulServerLongWithoutWork_keepsItForRequestsThatMayFail, PlacementFixture)
+// A server is without work because its hold has just ended. A refund must not be the request that tests its recovery.
+BOOST_FIXTURE_TEST_CASE(leastCost_withAPossiblyGrayServerLongWithoutWork_sendsOnlyIdempotentRequests, PlacementFixture)
 {
     candidates[2].failureRisk = 0.4;
     candidates[2].idle = 2s;
-    BOOST_TEST(shares()[2] == 0);
+    BOOST_TEST(choiceCounts()[2] == 0);
     request.idempotent = true;
-    BOOST_TEST(shares()[2] > 0);
+    BOOST_TEST(choiceCounts()[2] > 0);
 }
 
-// Idle servers are no reason to pay for the way to another zone, while those of the own zone are as idle.
+// While the servers of the own zone are idle too, idle servers are no reason to pay for the transfer to another zone.
 BOOST_FIXTURE_TEST_CASE(leastCost_withAllServersLongWithoutWork_staysInTheZone, PlacementFixture)
 {
     for (Candidate &candidate : candidates) {
         candidate.idle = 5s;
     }
-    const auto chosen = shares();
+    const auto chosen = choiceCounts();
     BOOST_TEST(chosen[3] + chosen[4] + chosen[5] == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(leastCost_withEverybodyInASpell_stillChooses, PlacementFixture)
+BOOST_FIXTURE_TEST_CASE(leastCost_withAllServersInAGrayFailure_stillChooses, PlacementFixture)
 {
     for (Candidate &candidate : candidates) {
         candidate.failureRisk = 0.9;
@@ -134,9 +135,9 @@
     BOOST_TEST(!policy.place(candidates, request, random).candidate.has_value());
 }
 
-// Every request of a service fails, at all of its entries at once. What the nodes together repeat in any ten seconds
-// must stay within what the operators allow the service, however it had gathered before.
-BOOST_AUTO_TEST_CASE(retryBudget_ofAFleetUnderFailure_keepsToTheLimitInEveryWindow)
+// Every request of a service fails, at all of its entries at once. The retries of all nodes together in any ten seconds
+// must stay within the operators' limit for the service, however many retries had accumulated before.
+BOOST_AUTO_TEST_CASE(retryBudget_ofAFleetUnderFailure_staysWithinTheLimitInEveryWindow)
 {
     constexpr int nodes = 29;
     const FleetRetryLimit limit{0.2, 62, 10s};
@@ -148,7 +149,7 @@
     }
     const base::ServiceId service("booking");
     const base::WorkspaceId workspace("clubs");
-    const auto play = [&](int seconds, bool failing) {
+    const auto simulate = [&](int seconds, bool failing) {
         int retries = 0;
         for (int step = 0; step < seconds * 10; ++step) {
             clock.advance(100ms);
@@ -159,8 +160,8 @@
         }
         return retries;
     };
-    play(20, false);
-    const int retries = play(10, true);
+    simulate(20, false);
+    const int retries = simulate(10, true);
     BOOST_TEST(retries <= 0.2 * nodes * 100 + 62);
     BOOST_TEST(retries > 0.1 * nodes * 100);
 }
--- a/src/routing/ledger_test.cpp
+++ b/src/routing/ledger_test.cpp
@@ -40,7 +40,7 @@
     return std::make_shared<const config::Configuration>(revision, std::move(parts));
 }
 
-/// A UUID of version 7 made at `time`.
+/// Returns a UUID of version 7 created at `time`.
 std::string timedKey(base::WallTime time, int number)
 {
     const auto milliseconds = static_cast<unsigned long long>(
@@ -63,7 +63,7 @@
     wire::Outgoing outgoing;
 };
 
-/// A few nodes and the messages between them, delivered only when the test says so.
+/// Several nodes and the messages between them, which are delivered only by the test.
 struct Fleet
 {
     base::ManualClock clock;
@@ -90,13 +90,13 @@
             start(i);
         }
         settings.noEarlierRuns = false;
-        settle();
+        deliverAll();
     }
     Node &node(int index)
     {
         return nodes[static_cast<std::size_t>(index)];
     }
-    /// Starts a node anew, without memory.
+    /// Starts a new process of a node, without the records of the earlier one.
     void start(int index)
     {
         Node &fresh = node(index);
@@ -157,13 +157,13 @@
         }
         collect();
     }
-    /// Delivers everything, with what it gives rise to. Nodes in `deaf` neither hear nor speak.
-    void settle(const std::set<int> &deaf = {})
+    /// Delivers all messages, including those sent in response. Messages to and from nodes in `unreachable` are lost.
+    void deliverAll(const std::set<int> &unreachable = {})
     {
         while (!messages.empty()) {
             const Message message = messages.front();
             messages.erase(messages.begin());
-            const bool isCut = std::any_of(deaf.begin(), deaf.end(), [&](int index) {
+            const bool isCut = std::any_of(unreachable.begin(), unreachable.end(), [&](int index) {
                 return index == message.from || vm(index) == message.outgoing.to;
             });
             if (!isCut) {
@@ -194,17 +194,17 @@
         collect();
         return request.request;
     }
-    /// Claims, lets all messages arrive, waits while the home is undecided, and names the verdict.
+    /// Claims a key, delivers all messages, waits while the home is undecided, and returns the verdict as text.
     std::string ask(int entry,
                     const std::string &key,
                     const std::string &body = "refund 7",
-                    const std::set<int> &deaf = {})
+                    const std::set<int> &unreachable = {})
     {
         const auto request = claim(entry, key, body);
-        settle(deaf);
+        deliverAll(unreachable);
         for (int i = 0; i < 30 && !verdicts.contains(request); ++i) {
             tick(100ms);
-            settle(deaf);
+            deliverAll(unreachable);
         }
         const auto found = verdicts.find(request);
         if (found == verdicts.end()) {
@@ -224,9 +224,9 @@
     {
         node(entry).client->completeWithAnswer(request, StoredAnswer{200, {}, body});
         collect();
-        settle();
+        deliverAll();
     }
-    /// A key whose home is `index` among all nodes.
+    /// Returns a key whose home is `index` among all nodes.
     std::string keyAt(int index, int salt = 0) const
     {
         for (int i = salt * 1000;; ++i) {
@@ -236,7 +236,7 @@
             }
         }
     }
-    /// A key whose home is `index` among all nodes, and `other` where only `rest` are left.
+    /// Returns a key whose home is `index` among all nodes, and `other` among `rest`.
     std::string keyMoving(int index, const std::vector<int> &rest, int other) const
     {
         std::vector<base::VmId> left;
@@ -261,9 +261,9 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(ledger_withRepeat_answersFromMemory, Fleet)
+BOOST_FIXTURE_TEST_CASE(ledger_withRepeat_returnsTheStoredAnswer, Fleet)
 {
-    for (const int home : {0, 1}) { // in the entry's own process, and over messages
+    for (const int home : {0, 1}) { // The home is in the entry's own process first, and then on another node.
         const auto key = keyAt(home);
         BOOST_TEST(ask(0, key) == "run");
         BOOST_TEST(ask(2, key) == "unknown IdempotencyRunning");
@@ -273,9 +273,10 @@
     }
 }
 
-// A caller has its answer and repeats at once through the node that is home of the key. The repeat overtakes the report
-// that the first run ended and would be told to wait; so the entry must know that the home does not have it yet.
-BOOST_FIXTURE_TEST_CASE(ledger_withReportUnderWay_isNotRecorded, Fleet)
+// A caller has its answer and repeats the request at once through the node that is home of the key. The repeat arrives
+// before the report of the first run and would be told to wait. So the entry must report the run as recorded only after
+// the home has acknowledged it.
+BOOST_FIXTURE_TEST_CASE(ledger_withReportInTransit_isNotRecorded, Fleet)
 {
     const auto key = keyAt(1);
     BOOST_TEST(ask(0, key) == "run");
@@ -287,13 +288,14 @@
     BOOST_TEST(node(0).client->isReporting(request));
     BOOST_TEST(!recorded.contains(request));
     deliver(report.front());
-    settle();
+    deliverAll();
     BOOST_TEST(recorded.contains(request));
     BOOST_TEST(ask(1, key) == "answer paid");
 }
 
-// A home stops as planned, and its next home acts already when the report of a run reaches the stopping one. If that
-// one acknowledged it, the caller would have its answer and the next home would tell its repeat to wait.
+// A home stops as planned, and its next home acts already when the report of a run reaches the stopping one. If the
+// stopping home acknowledged it at once, the caller would have its answer, but the next home would tell a repeat to
+// wait.
 BOOST_FIXTURE_TEST_CASE(ledger_withReportToStoppingHome_isRecordedOnlyWhenTheNextHasIt, Fleet)
 {
     const auto key = keyMoving(1, {0, 2, 3}, 3);
@@ -301,7 +303,7 @@
     const auto request = lastAsked();
     node(1).home->beginHandOver();
     collect();
-    settle();
+    deliverAll();
     BOOST_TEST(node(1).home->handOverDone());
     node(0).client->completeWithAnswer(request, StoredAnswer{200, {}, "paid"});
     collect();
@@ -321,20 +323,20 @@
     for (const Message &message : toNext) {
         deliver(message);
     }
-    settle();
+    deliverAll();
     tick(100ms);
-    settle();
+    deliverAll();
     BOOST_TEST(recorded.contains(request));
     BOOST_TEST(ask(2, key) == "answer paid");
 }
 
-// A change brings a key back to its home, and the one that it had meanwhile has not heard of that. If the home
-// acknowledged a report at once, the other would tell a repeat that a run has not ended whose caller has its answer.
-BOOST_FIXTURE_TEST_CASE(ledger_withEarlierHomeUnheard_isNotRecorded, Fleet)
+// A change moves a key back to its home, but its home in between has not received the change. If the home acknowledged
+// a report at once, the other one would tell a repeat that the run has not ended although the caller has its answer.
+BOOST_FIXTURE_TEST_CASE(ledger_withEarlierHomeNotAnswering_isNotRecorded, Fleet)
 {
     const auto key = keyMoving(1, {0, 2, 3}, 2);
     applyToAll(configuration(2, {0, 2, 3}));
-    settle();
+    deliverAll();
     BOOST_TEST(ask(0, key) == "run");
     const auto request = lastAsked();
     const auto back = configuration(3, {0, 1, 2, 3});
@@ -343,51 +345,52 @@
     const auto fetches = std::exchange(messages, {});
     node(0).client->completeWithAnswer(request, StoredAnswer{200, {}, "paid"});
     collect();
-    settle();
-    BOOST_TEST(ask(3, key) == "unknown IdempotencyRunning"); // by the configuration before
+    deliverAll();
+    BOOST_TEST(ask(3, key) == "unknown IdempotencyRunning"); // It uses the earlier configuration.
     BOOST_TEST(!recorded.contains(request));
     for (const Message &fetch : fetches) {
         deliver(fetch);
     }
-    settle();
+    deliverAll();
     tick(100ms);
-    settle();
+    deliverAll();
     BOOST_TEST(recorded.contains(request));
     applyToAll(back);
-    settle();
+    deliverAll();
     BOOST_TEST(ask(3, key) == "answer paid");
 }
 
-// A caller's first try times out and its library sends the refund again through another entry at the same moment.
-// With a home per key only one of the two is told to run.
+// A caller's first attempt times out and its library sends the refund again through another entry at the same moment.
+// Since the key has one home, only one of the two gets the verdict Run.
 BOOST_FIXTURE_TEST_CASE(ledger_withTwoEntriesAtOnce_runsOne, Fleet)
 {
     const auto key = keyAt(3);
     const auto first = claim(0, key);
     const auto second = claim(1, key);
-    settle();
+    deliverAll();
     BOOST_TEST((verdicts[first].verdict == ClaimVerdict::Run) != (verdicts[second].verdict == ClaimVerdict::Run));
 }
 
-// The home's verdict is lost on the way back. The entry asks again and must be told the same, or the refund is refused
-// although nobody has paid it.
-BOOST_FIXTURE_TEST_CASE(ledger_withVerdictLost_repeatsIt, Fleet)
+// The home's verdict is lost. The entry resends its claim and must get the same verdict, or the refund would be refused
+// although it was not paid.
+BOOST_FIXTURE_TEST_CASE(ledger_withVerdictLost_resendsIt, Fleet)
 {
     const auto request = claim(0, keyAt(1));
     deliver(messages.front());
     messages.clear();
     tick(100ms);
-    settle();
+    deliverAll();
     BOOST_TEST((verdicts[request].verdict == ClaimVerdict::Run));
 }
 
-// The entry dies after it was told to run, so nobody knows whether the refund was paid. A repeat must hear just that.
-BOOST_FIXTURE_TEST_CASE(ledger_withEntryDead_becomesUnknown, Fleet)
+// The entry crashes after the verdict Run, so it is unknown whether the refund was paid. A repeat must get this
+// outcome.
+BOOST_FIXTURE_TEST_CASE(ledger_withEntryCrashed_reportsUnknown, Fleet)
 {
     const auto key = keyAt(1);
     BOOST_TEST(ask(0, key) == "run");
     start(0);
-    settle();
+    deliverAll();
     BOOST_TEST(ask(2, key) == "unknown IdempotencyRunning");
     tick(13s);
     BOOST_TEST(ask(2, key) == "unknown OutcomeUnknown");
@@ -395,19 +398,19 @@
     BOOST_TEST(ask(2, key) == "run");
 }
 
-// The home can't be reached. The entry refuses not-run, and when the link is back the key must not be found taken.
-BOOST_FIXTURE_TEST_CASE(ledger_withHomeUnreachable_refusesAndFreesTheKey, Fleet)
+// The home can't be reached, and the entry refuses with not-run. When the link works again, the key must still be free.
+BOOST_FIXTURE_TEST_CASE(ledger_withHomeUnreachable_refusesAndReleasesTheKey, Fleet)
 {
     const auto key = keyAt(1);
     BOOST_TEST(ask(0, key, "refund 7", {1}) == "not-run IdempotencyHomeUnreachable");
     tick(100ms);
-    settle();
+    deliverAll();
     BOOST_TEST(ask(2, key) == "run");
 }
 
-// The claim reaches the home, but the entry gives up before the verdict comes. A verdict that comes later must not
-// make a refused refund run, and the key must be free for the caller's repeat.
-BOOST_FIXTURE_TEST_CASE(ledger_withVerdictAfterGivingUp_doesNotRunIt, Fleet)
+// The claim reaches the home, but the entry abandons it before the verdict arrives. A later verdict must not make a
+// refused refund run, and the key must be free for the caller's repeat.
+BOOST_FIXTURE_TEST_CASE(ledger_withVerdictAfterClaimTimeout_doesNotRunIt, Fleet)
 {
     const auto key = keyAt(1);
     const auto request = claim(0, key);
@@ -419,21 +422,21 @@
     }
     BOOST_TEST((verdicts[request].refusal.code == ResultCode::IdempotencyHomeUnreachable));
     tick(100ms);
-    settle();
+    deliverAll();
     deliver(late);
-    settle();
+    deliverAll();
     BOOST_TEST(ask(2, key) == "run");
 }
 
-// A node crashes and forgets which refunds it let run. A repeat that it took for new would pay a second time.
-BOOST_FIXTURE_TEST_CASE(ledger_afterCrashOfHome_refusesWhatItMayHaveForgotten, Fleet)
+// A node crashes and loses its records of granted refunds. A repeat that it treated as new would pay a second time.
+BOOST_FIXTURE_TEST_CASE(ledger_afterCrashOfHome_refusesKeysThatMayHaveRun, Fleet)
 {
     const auto key = keyAt(1);
     const auto timed = timedKeyAt(1, clock.wallNow());
     BOOST_TEST(ask(0, key) == "run");
     BOOST_TEST(ask(0, timed) == "run");
     start(1);
-    settle();
+    deliverAll();
     BOOST_TEST(ask(0, key) == "not-run IdempotencyHomeFresh");
     BOOST_TEST((verdicts[lastAsked()].refusal.retryClass == RetryClass::WithNewKey));
     BOOST_TEST(ask(0, timed) == "not-run IdempotencyHomeFresh");
@@ -445,15 +448,15 @@
     BOOST_TEST(ask(0, keyAt(1, 1)) == "run");
 }
 
-// A caller's clock is ahead. After a crash of the home its old keys would look new, so they never run at all.
+// A caller's clock is ahead. After a crash of the home its old keys would look new, so they never run.
 BOOST_FIXTURE_TEST_CASE(ledger_withKeyFromTheFuture_refusesIt, Fleet)
 {
     BOOST_TEST(ask(0, timedKey(clock.wallNow() + 1min, 1)) == "not-run IdempotencyKeyInvalid");
     BOOST_TEST(ask(0, "a key with spaces") == "not-run IdempotencyKeyInvalid");
 }
 
-// A planned stop: the next home acts while the node is away, and gives everything back after its restart.
-BOOST_FIXTURE_TEST_CASE(ledger_overPlannedRestart_keepsItsMemory, Fleet)
+// At a planned stop the next home acts while the node is down, and returns all records after its restart.
+BOOST_FIXTURE_TEST_CASE(ledger_overPlannedRestart_keepsItsRecords, Fleet)
 {
     const auto key = keyAt(1);
     const auto during = keyAt(1, 1);
@@ -461,29 +464,29 @@
     const auto request = lastAsked();
     node(1).home->beginHandOver();
     collect();
-    settle();
+    deliverAll();
     BOOST_TEST(node(1).home->handOverDone());
     node(0).client->completeWithAnswer(request, StoredAnswer{200, {}, "paid"});
     collect();
     for (int i = 0; i < 4; ++i) {
         tick(100ms);
-        settle({1});
+        deliverAll({1});
     }
     BOOST_TEST(ask(2, key, "refund 7", {1}) == "answer paid");
     BOOST_TEST(ask(0, during, "refund 7", {1}) == "run");
     start(1);
-    settle();
+    deliverAll();
     BOOST_TEST(node(1).home->hasResolvedEarlierHomes(service));
     BOOST_TEST(ask(2, key) == "answer paid");
     BOOST_TEST(ask(2, during) == "unknown IdempotencyRunning");
     BOOST_TEST(ask(2, keyAt(1, 2)) == "run");
-    start(1); // this time without a plan, and the siblings' copy is too old
-    settle();
+    start(1); // This restart is unplanned, and the copy at the siblings is too old.
+    deliverAll();
     BOOST_TEST(ask(2, keyAt(1, 2)) == "not-run IdempotencyHomeFresh");
 }
 
-// A node stops as planned, its next home acts for it, and crashes. Parts of the hand-over that are resent then reach
-// the new process, which must not act as if it knew what its earlier one let run.
+// A node stops as planned, its next home acts for it, and crashes. Resent parts of the hand-over then reach the new
+// process, which must not act, as it lacks the records of what its earlier process granted.
 BOOST_FIXTURE_TEST_CASE(ledger_withNextHomeRestarted_doesNotActAgain, Fleet)
 {
     const auto key = keyAt(1);
@@ -503,16 +506,16 @@
     }
     BOOST_TEST(ask(entry, key, "refund 7", {1}) == "run");
     start(nextIndex);
-    settle();
+    deliverAll();
     for (const Message &part : parts) {
         deliver(part);
     }
-    settle();
+    deliverAll();
     BOOST_TEST(ask(entry, key, "refund 7", {1}) == "not-run IdempotencyHomeUnreachable");
 }
 
 // While a next home acts for a stopped node, two changes move the key to a third VM and back. The next home skips the
-// first, and would let a refund run that the third VM has let run.
+// first change, and would grant a refund that the third VM has granted already.
 BOOST_FIXTURE_TEST_CASE(ledger_withActingHomeThatSkippedARevision_stopsActing, Fleet)
 {
     const auto key = keyAt(1);
@@ -525,23 +528,23 @@
     }
     node(1).home->beginHandOver();
     collect();
-    settle();
+    deliverAll();
     for (const int index : others) {
         apply(index, configuration(2, others));
     }
-    settle();
+    deliverAll();
     BOOST_TEST(ask(others[0], key) == "run");
     apply(next, configuration(3, {0, 1, 2, 3}));
     BOOST_TEST(ask(next, key) != "run");
 }
 
-// A new VM takes a key over from another by a change of the configuration, while an entry still holds the old one.
-// Both would let the refund run if the old home did not hear of the change first.
-BOOST_FIXTURE_TEST_CASE(ledger_withHomeMovedByConfiguration_asksTheOldOne, Fleet)
+// A change of the configuration moves a key to a new VM, while an entry still holds the old configuration. Both homes
+// would grant the refund if the new one did not fetch from the old one first.
+BOOST_FIXTURE_TEST_CASE(ledger_withHomeMovedByConfiguration_fetchesFromTheOldOne, Fleet)
 {
     const auto without = configuration(2, {0, 1, 2});
     applyToAll(without);
-    settle();
+    deliverAll();
     const auto with = configuration(3, {0, 1, 2, 3});
     const auto earlier = latest;
     latest = with;
@@ -551,37 +554,38 @@
     BOOST_TEST(ask(0, key) == "run");
 
     apply(3, with);
-    messages.clear(); // the first fetch is lost
+    messages.clear(); // The first fetch is lost.
     BOOST_TEST(ask(3, key, "refund 7", {0, 1, 2}) == "not-run IdempotencyHomeFresh");
     tick(1s);
-    settle();
+    deliverAll();
     BOOST_TEST(ask(3, key) == "unknown IdempotencyRunning");
     BOOST_TEST(ask(3, other) == "run");
-    BOOST_TEST(ask(1, other) == "not-run IdempotencyHomeUnreachable"); // entry and old home are behind
+    BOOST_TEST(ask(1, other)
+               == "not-run IdempotencyHomeUnreachable"); // The entry and the old home hold the old configuration.
     applyToAll(with);
-    settle();
+    deliverAll();
     BOOST_TEST(ask(1, other) == "unknown IdempotencyRunning");
 }
 
-// A home was away during a change that moved its keys to another VM and back. It believes that it was home all the
-// time, while the other has let a refund run.
-BOOST_FIXTURE_TEST_CASE(ledger_withRevisionSkipped_learnsWhatRanMeanwhile, Fleet)
+// A home skips a change that moved its keys to another VM, and receives the next one that moves them back. By its
+// configurations it was home all the time, while the other VM has granted a refund.
+BOOST_FIXTURE_TEST_CASE(ledger_withRevisionSkipped_fetchesWhatRanMeanwhile, Fleet)
 {
     const auto key = keyAt(1);
     const auto moved = configuration(2, {0, 2, 3});
     for (const int index : {0, 2, 3}) {
         apply(index, moved);
     }
-    settle();
+    deliverAll();
     BOOST_TEST(ask(0, key) == "run");
     const auto back = configuration(3, {0, 1, 2, 3});
     apply(1, back);
     BOOST_TEST(ask(1, key) == "unknown IdempotencyRunning");
 }
 
-// Two changes come at once, and the home of the first never hears of it. The home of the second must not stop asking
-// there, since a refund was let run by the VM that was home before both.
-BOOST_FIXTURE_TEST_CASE(ledger_withHomeThatNeverKnewItWas_asksThoseBefore, Fleet)
+// Two changes arrive at once, and the home by the first never receives it. The home by the second must also fetch from
+// the homes before, since the VM that was home before both has granted a refund.
+BOOST_FIXTURE_TEST_CASE(ledger_withHomeThatNeverHeldItsRevision_fetchesFromThoseBefore, Fleet)
 {
     std::string key;
     for (int i = 0; key.empty(); ++i) {
@@ -591,16 +595,16 @@
         key = fits ? "move" + std::to_string(i) : "";
     }
     applyToAll(configuration(2, {0, 1, 2}));
-    settle();
+    deliverAll();
     BOOST_TEST(ask(0, key) == "run");
     apply(3, configuration(3, {0, 2}));
     apply(3, configuration(4, {0, 3}));
     BOOST_TEST(ask(3, key) == "unknown IdempotencyRunning");
 }
 
-// A node restarts while it is out of the service, and comes back into it. Its earlier process let a refund run that
-// nobody else knows of.
-BOOST_FIXTURE_TEST_CASE(ledger_afterRestartOutsideTheService_remembersThatItForgot, Fleet)
+// A node restarts while it is not a VM of the service, and rejoins it. Its earlier process granted a refund of which no
+// other node has a record.
+BOOST_FIXTURE_TEST_CASE(ledger_afterRestartOutsideTheService_refusesKeysThatMayHaveRun, Fleet)
 {
     const auto key = keyAt(1);
     BOOST_TEST(ask(0, key) == "run");
@@ -612,20 +616,20 @@
     BOOST_TEST(ask(1, key) == "not-run IdempotencyHomeFresh");
 }
 
-// A VM that never served before joins. Its keys must not be refused for a whole retention as if it had crashed.
-BOOST_FIXTURE_TEST_CASE(ledger_withNewVmAmongElders_trustsIt, Fleet)
+// A VM that never served before joins the service. Its keys must not be refused for a whole retention as after a crash.
+BOOST_FIXTURE_TEST_CASE(ledger_withNewVmAmongLongTimeMembers_grantsAtOnce, Fleet)
 {
     applyToAll(configuration(2, {0, 1, 2}));
-    settle();
+    deliverAll();
     tick(6h);
     start(3);
     applyToAll(configuration(3, {0, 1, 2, 3}));
-    settle();
+    deliverAll();
     BOOST_TEST(ask(0, keyAt(3)) == "run");
 }
 
-// A dead VM would block its keys for ever. Once the platform no longer lists it, it has stopped, and keys made since
-// then are new for sure.
+// A dead VM must not block its keys permanently. Once the platform no longer lists it, it has stopped, and keys created
+// since then are certainly new.
 BOOST_FIXTURE_TEST_CASE(ledger_withEarlierHomeGone_runsOnlyNewerKeys, Fleet)
 {
     const auto old = timedKeyAt(1, clock.wallNow());
@@ -639,18 +643,18 @@
         apply(index, configuration(2, {0, 2, 3}));
         node(index).home->applyVmList(list);
     }
-    settle({1});
+    deliverAll({1});
     BOOST_TEST(ask(0, old, "refund 7", {1}) == "not-run IdempotencyHomeFresh");
     tick(11s);
     tick(30s);
-    settle({1});
+    deliverAll({1});
     BOOST_TEST(ask(0, old, "refund 7", {1}) == "not-run IdempotencyHomeFresh");
     BOOST_TEST(ask(0, timedKeyAt(1, clock.wallNow()), "refund 7", {1}) == "run");
 }
 
-// One workspace sends keys without end. Forgetting older ones would let their repeats run twice, so it is refused,
-// and the others still find room.
-BOOST_AUTO_TEST_CASE(ledger_whenFull_refusesInsteadOfForgetting)
+// One workspace sends an unlimited number of keys. If older records were removed, their repeats would run twice. So the
+// workspace is refused, and the others still have room.
+BOOST_AUTO_TEST_CASE(ledger_whenFull_refusesInsteadOfRemovingRecords)
 {
     base::ManualClock clock;
     LedgerSettings settings;
@@ -685,8 +689,8 @@
     BOOST_TEST(ledger.bytes() == 0u);
 }
 
-// A home that does not know a key hears first that one request with it was given up, and then that another one ran. Had
-// it kept to the first, the answer would be lost although its entry was told that it is kept.
+// A home without a record of a key first receives the report that one request with it was abandoned, and then that
+// another one ran. If it kept the first report, the answer would be lost although its entry got an acknowledgement.
 BOOST_AUTO_TEST_CASE(ledger_withAnswerAfterReleaseOfAnotherRequest_keepsTheAnswer)
 {
     base::ManualClock clock;
@@ -714,13 +718,13 @@
 
 namespace {
 
-/// A number in [0, size), at every size of a test case alike.
+/// Returns a number in [0, size), independently of the size of the test case.
 int pick(int size)
 {
     return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(0, size));
 }
 
-/// One VM leaves the service or joins it; two stay at least.
+/// Returns `vms` after one VM has left the service or joined it; at least two remain.
 std::vector<int> changed(std::vector<int> vms)
 {
     const int index = pick(4);
@@ -735,26 +739,27 @@
 
 }
 
-// Everything at once, in any order: crossed, lost and repeated messages, crashes, planned stops, homes that move while
-// claims are under way, nodes that skip revisions. A caller would notice a fault as a refund paid twice, or, having its
-// answer, would be told on a repeat that the run has not ended. Two of four nodes lose their memory at most
-// (docs/design/idempotency.md says what holds when all do); a crash may also forget an answer.
+// Combines faults in random order: reordered, lost and repeated messages, crashes, planned stops, homes that move while
+// claims are in transit, and nodes that skip revisions. A caller would notice an error as a refund paid twice or, with
+// its answer received, as a repeat that is told that the run has not ended. At most two of four nodes lose their
+// records (docs/design/idempotency.md states what holds when all do); a crash may also lose an answer.
 RC_BOOST_PROP(ledger_underRandomFaults_runsEachKeyAtMostOnce, ())
 {
     Fleet fleet;
     std::vector<config::ConfigurationPtr> published{fleet.latest};
     std::vector<std::string> keys{"a", "b", "c", "d"};
     std::vector<int> vms{0, 1, 2, 3};
-    const bool remembers = pick(2) == 0; // No memory is lost and each run is answered: its repeats must hear that.
-    int crashesLeft = remembers ? 0 : 2;
+    const bool keepsRecords
+        = pick(2) == 0; // No records are lost and each run is answered, so its repeats must get the answer.
+    int crashesLeft = keepsRecords ? 0 : 2;
     struct Run
     {
         int entry;
         std::string key;
         bool open;
         bool ran;
-        bool afterAnswer; ///< Claimed when a caller had the answer, in a history that loses no memory.
-        bool isAnswered = false; ///< Reported so, in such a history.
+        bool afterAnswer; ///< It was claimed when a caller had the answer, in a history that loses no records.
+        bool isAnswered = false; ///< It was reported as answered, in such a history.
     };
     std::map<base::RequestId, Run> asked;
     const int steps = pick(300);
@@ -764,10 +769,10 @@
         if (action < 20 && !fleet.messages.empty()) {
             const int at = pick(static_cast<int>(fleet.messages.size()));
             const Message message = fleet.messages[static_cast<std::size_t>(at)];
-            if (action != 0) { // action 0 delivers a copy
+            if (action != 0) { // Action 0 delivers a copy.
                 fleet.messages.erase(fleet.messages.begin() + at);
             }
-            if (action != 1) { // action 1 loses it
+            if (action != 1) { // Action 1 loses the message.
                 fleet.deliver(message);
             }
         } else if (action < 26) {
@@ -782,7 +787,7 @@
         } else if (action < 31) {
             fleet.tick(*rc::gen::element<base::Duration>(100ms, 300ms, 2s, 20s));
         } else if (action < 33) {
-            fleet.settle();
+            fleet.deliverAll();
         } else if (action < 35) {
             vms = changed(vms);
             fleet.latest = configuration(published.size() + 1, vms);
@@ -808,10 +813,10 @@
                 run.open = false;
             } else if (pick(4) == 0) {
                 run.open = false;
-                const int end = remembers ? 0 : pick(3);
+                const int end = keepsRecords ? 0 : pick(3);
                 auto &client = *fleet.node(run.entry).client;
                 if (end == 0) {
-                    run.isAnswered = remembers;
+                    run.isAnswered = keepsRecords;
                     client.completeWithAnswer(request, StoredAnswer{200, {}, run.key});
                 } else if (end == 1) {
                     client.completeUnknown(request);
--- a/src/routing/ledgermove.cpp
+++ b/src/routing/ledgermove.cpp
@@ -231,8 +231,8 @@
 void LedgerHome::answerFetch(const base::VmId &from, const LedgerFetch &fetch, ServiceState &state)
 {
     const auto now = m_clock.now();
-    const auto heard = state.seenIncarnations.find(from);
-    const bool heardEarlier = heard != state.seenIncarnations.end() && heard->second != fetch.incarnation;
+    const auto seen = state.seenIncarnations.find(from);
+    const bool sawEarlier = seen != state.seenIncarnations.end() && seen->second != fetch.incarnation;
 
     LedgerFetchResult result;
     result.service = fetch.service;
@@ -242,7 +242,7 @@
     result.after = fetch.after;
     result.hasFullHandOver = holdsFullHandOver(from, fetch);
     result.sawEarlierProcess
-        = heardEarlier || state.formerHomes.contains(from) || m_incomingHandOvers.contains({fetch.service, from});
+        = sawEarlier || state.formerHomes.contains(from) || m_incomingHandOvers.contains({fetch.service, from});
     result.age = age().count();
     result.memberFor = state.memberSince ? (now - *state.memberSince).count() : 0;
     result.lostAgo = elapsedSince(latestLoss(fetch.sourceService, state));
@@ -284,11 +284,11 @@
         = [&](const Fetcher &fetcher) { return fetcher.vm == from && fetcher.revision == fetch.revision; };
     std::erase_if(state.fetchers, isSame);
     state.fetchers.push_back(Fetcher{from, fetch.revision, m_clock.now()});
-    const auto [heard, isNew] = state.seenIncarnations.try_emplace(from, fetch.incarnation);
-    if (!isNew && heard->second != fetch.incarnation) {
+    const auto [seen, isNew] = state.seenIncarnations.try_emplace(from, fetch.incarnation);
+    if (!isNew && seen->second != fetch.incarnation) {
         // The VM stays recorded as one with an earlier process, regardless of the number of starts.
         state.formerHomes[from] = m_clock.now();
-        heard->second = fetch.incarnation;
+        seen->second = fetch.incarnation;
     }
 }
 
--- a/src/routing/placement_test.cpp
+++ b/src/routing/placement_test.cpp
@@ -66,9 +66,9 @@
     BOOST_TEST(placeMany(10)[99] == 10);
 }
 
-// A server comes back after an ejection and is still slow. Only a trickle may find out, and a refund must not be
-// among it, since it could not be repeated elsewhere.
-BOOST_FIXTURE_TEST_CASE(placement_withServerOnTrial_givesItATrickleOfIdempotentRequests, PlacementFixture)
+// A server returns after an ejection and may still be slow. It is tested with few requests, and a refund must not be
+// among them, since it could not be repeated elsewhere.
+BOOST_FIXTURE_TEST_CASE(placement_withServerOnTrial_givesItFewIdempotentRequests, PlacementFixture)
 {
     fill(4);
     candidates[0].usable = false;
@@ -81,7 +81,7 @@
     BOOST_TEST(count < 140);
 }
 
-BOOST_FIXTURE_TEST_CASE(placement_withColdServer_givesItItsWeight, PlacementFixture)
+BOOST_FIXTURE_TEST_CASE(placement_withServerInSlowStart_givesItTheShareOfItsWeight, PlacementFixture)
 {
     fill(10);
     request.zone = base::ZoneId("none");
@@ -91,9 +91,9 @@
     BOOST_TEST(count < 250);
 }
 
-// Every server of a service looks bad at once, because the shared database is slow or the detection is wrong. If
-// nobody were used the callers would get nothing at all.
-BOOST_FIXTURE_TEST_CASE(placement_whenAllAreBad_spreadsOverAllNotDrained, PlacementFixture)
+// Every server of a service appears unhealthy at once, because the shared database is slow or the detection is wrong.
+// If no server were used, the callers would get no answers at all.
+BOOST_FIXTURE_TEST_CASE(placement_withAllServersUnhealthy_spreadsOverAllNotDrained, PlacementFixture)
 {
     fill(4);
     for (auto &candidate : candidates) {
@@ -115,9 +115,9 @@
     BOOST_TEST(placeMany(5)[99] == 5);
 }
 
-// A sibling says that it is idle and quick while its requests pile up. Callers would see them time out, so it must
-// not draw the whole traffic of the service.
-BOOST_FIXTURE_TEST_CASE(placement_withServerThatLiesAboutItsLoad_givesItAtMostTwoShares, PlacementFixture)
+// A server reports that it is idle and fast while its requests queue up and time out. It must not receive the whole
+// traffic of the service.
+BOOST_FIXTURE_TEST_CASE(placement_withServerThatReportsAWrongLoad_givesItAtMostTwoShares, PlacementFixture)
 {
     fill(20);
     request.zone = base::ZoneId("none");
@@ -130,7 +130,7 @@
     BOOST_TEST(count < 2 * 10000 / 20 * 115 / 100);
 }
 
-BOOST_FIXTURE_TEST_CASE(placement_explained_namesScoresAndReasons, PlacementFixture)
+BOOST_FIXTURE_TEST_CASE(placement_explained_containsScoresAndReasons, PlacementFixture)
 {
     fill(3);
     candidates[1].usable = false;
@@ -142,7 +142,7 @@
     BOOST_TEST(explanation.sentence == "Chose s0 as the better of two, before s2 (10 ms against 20 ms).");
 }
 
-BOOST_FIXTURE_TEST_CASE(handOver_withClearlyBetterSibling_happensOnce, PlacementFixture)
+BOOST_FIXTURE_TEST_CASE(handOverTarget_withClearlyBetterSibling_isChosenOnce, PlacementFixture)
 {
     fill(4);
     const Candidate own = candidates[0];
--- a/src/routing/processtable_test.cpp
+++ b/src/routing/processtable_test.cpp
@@ -24,9 +24,9 @@
 
 }
 
-// The serving node crashes while a refund is at work. Its next process knows nothing of it and says that it never
-// started; the refund would be paid again through another server.
-BOOST_FIXTURE_TEST_CASE(processTable_withServingNodeRestarted_takesItsWordForNothingBefore, ProcessFixture)
+// The serving node crashes while a refund runs. Its next process has no record of the refund and answers that it never
+// started, so the refund would be paid again through another server.
+BOOST_FIXTURE_TEST_CASE(processTable_withServingNodeRestarted_rejectsItsAnswerOnEarlierAttempts, ProcessFixture)
 {
     processes.recordMessage(vm, 1);
     clock.advance(1s);
@@ -35,13 +35,13 @@
     clock.advance(100ms);
     processes.recordMessage(vm, 2);
     BOOST_TEST(!isProof(2, sentAt));
-    BOOST_TEST(!isProof(1, sentAt)); // A late message: which process sent it last is not known any more.
+    BOOST_TEST(!isProof(1, sentAt)); // A late message of the earlier process, which is no longer recorded.
     BOOST_TEST(isProof(2, clock.now()));
     BOOST_TEST(isProof(2, sentAt, CancelAnswer::Started));
 }
 
-// An entry that has just started never heard the serving node before it sent the attempt.
-BOOST_FIXTURE_TEST_CASE(processTable_withUnknownProcess_takesNoProof, ProcessFixture)
+// An entry that has just started has received no message of the serving node before it sends the attempt.
+BOOST_FIXTURE_TEST_CASE(processTable_withUnknownProcess_acceptsNoProof, ProcessFixture)
 {
     BOOST_TEST(!isProof(1, clock.now()));
 }
--- a/src/routing/requestmachine_test.cpp
+++ b/src/routing/requestmachine_test.cpp
@@ -31,8 +31,8 @@
     BOOST_TEST(machine.stateName() == "answered");
 }
 
-// A lookup is silent before its serving node has acknowledged it, and no retry is left, so it is awaited. A chart that
-// knows no such wait cuts the caller's connection without an answer.
+// A lookup is not acknowledged by its serving node, and no retry is left, so its answer is awaited. A chart without a
+// transition for this would close the caller's connection without an answer.
 BOOST_FIXTURE_TEST_CASE(requestMachine_waitingBeforeTheAcknowledgement_staysPlaced, RequestMachineFixture)
 {
     handle({RequestEvent::Admit, RequestEvent::Place, RequestEvent::CancelFailed});
@@ -41,9 +41,9 @@
     BOOST_TEST(machine.isFinal());
 }
 
-// The answer of an attempt comes after its caller was told that the outcome is unknown. A second answer on the same
-// connection would be taken for the answer to the caller's next request.
-BOOST_FIXTURE_TEST_CASE(requestMachine_afterItsEnd_ignoresLateNews, RequestMachineFixture)
+// The answer of an attempt arrives after its caller was told that the outcome is unknown. The caller would treat a
+// second answer on the same connection as the answer to its next request.
+BOOST_FIXTURE_TEST_CASE(requestMachine_inAFinalState_ignoresLateEvents, RequestMachineFixture)
 {
     handle({RequestEvent::Admit, RequestEvent::Place, RequestEvent::LoseTrack});
     BOOST_TEST(!machine.handle(RequestEvent::Answer));
@@ -51,7 +51,7 @@
     BOOST_TEST((machine.state() == RequestState::Unknown));
 }
 
-// A fault in the node places a request that was refused. The caller would see its refused refund paid.
+// A fault in the node places a request that was refused, so that a refused refund would be paid.
 BOOST_FIXTURE_TEST_CASE(requestMachine_afterRefusal_cannotBePlaced, RequestMachineFixture)
 {
     handle({RequestEvent::Admit, RequestEvent::Refuse});
--- a/src/routing/retrypolicy_test.cpp
+++ b/src/routing/retrypolicy_test.cpp
@@ -44,7 +44,7 @@
                                         AttemptEvent::CancelDone,
                                         AttemptEvent::CancelUnanswered);
 
-/// Whether `event` by itself proves that its attempt did not run.
+/// Returns whether `event` by itself proves that its attempt did not run.
 bool isProof(AttemptEvent event)
 {
     return event == AttemptEvent::ConnectionRefused || event == AttemptEvent::RefusedNotRun
@@ -53,8 +53,9 @@
 
 }
 
-// The users' engineers must see that lookups failed because retries were used up, and by whom.
-BOOST_FIXTURE_TEST_CASE(retryBudget_whenSpent_countsWhoseItWas, RetryFixture)
+// The counters must show whether lookups failed because the retry budget of the service or that of the workspace was
+// spent, so that the users' engineers can find the cause.
+BOOST_FIXTURE_TEST_CASE(retryBudget_whenSpent_countsRefusalsByBudget, RetryFixture)
 {
     const base::WorkspaceId south("south");
     BOOST_TEST(budget.availableRetries().empty());
@@ -81,9 +82,9 @@
     BOOST_TEST(decision.cancelPrevious);
 }
 
-// The link to the serving node breaks in one direction after a refund was sent. Without proof a second attempt could
-// pay it twice, so the node asks first, and goes on only when the answer is that it never started.
-BOOST_FIXTURE_TEST_CASE(retryPolicy_withRefundAndSilence_goesOnOnlyOnProof, RetryFixture)
+// The link to the serving node fails in one direction after a refund was sent. Without proof a second attempt could pay
+// the refund twice, so the node sends a cancel first, and retries only if the answer is that it never started.
+BOOST_FIXTURE_TEST_CASE(retryPolicy_withRefundAndSilence_retriesOnlyOnProof, RetryFixture)
 {
     BOOST_TEST((after(AttemptEvent::NotAcknowledged).action == RetryAction::CancelFirst));
     auto started = progress;
@@ -97,9 +98,9 @@
     BOOST_TEST((proof.action == RetryAction::RetryElsewhere));
 }
 
-// The first attempt of a lookup may have run and the second is refused by a full queue. Saying not-run for the last
-// refusal alone would be a lie about the request.
-BOOST_FIXTURE_TEST_CASE(retryPolicy_afterAnAttemptThatMayHaveRun_neverSaysNotRun, RetryFixture)
+// The first attempt of a lookup may have run and the second is refused by a full queue. The outcome not-run is true of
+// the last refusal, but wrong for the request.
+BOOST_FIXTURE_TEST_CASE(retryPolicy_afterAnAttemptThatMayHaveRun_neverReportsNotRun, RetryFixture)
 {
     progress.idempotent = true;
     after(AttemptEvent::ServerError);
@@ -112,30 +113,32 @@
     BOOST_TEST((decision.refusal.outcome == Outcome::Unknown));
 }
 
-// A copy of a hop arrives twice and the serving node refuses the second. That says nothing about the first, which may
-// have paid the refund.
-BOOST_FIXTURE_TEST_CASE(retryPolicy_withReplayRefusal_takesItForNoProof, RetryFixture)
+// A hop arrives twice and the serving node refuses the second copy. The refusal does not report on the first copy,
+// which may have paid the refund.
+BOOST_FIXTURE_TEST_CASE(retryPolicy_withReplayRefusal_doesNotTreatItAsProof, RetryFixture)
 {
     const auto decision = after(AttemptEvent::RefusedNotRun, ResultCode::HopReplayed);
     BOOST_TEST((decision.action == RetryAction::Refuse));
     BOOST_TEST((decision.refusal.outcome == Outcome::Unknown));
 }
 
-BOOST_FIXTURE_TEST_CASE(retryPolicy_withWithdrawnKey_refusesForGood, RetryFixture)
+BOOST_FIXTURE_TEST_CASE(retryPolicy_withWithdrawnKey_refusesPermanently, RetryFixture)
 {
     const auto decision = after(AttemptEvent::RefusedNotRun, ResultCode::KeyUnknown);
     BOOST_TEST((decision.refusal.outcome == Outcome::NotRun));
     BOOST_TEST((decision.refusal.retryClass == RetryClass::Never));
 }
 
-BOOST_FIXTURE_TEST_CASE(retryPolicy_withErrorOfServer_passesItOnForRefund, RetryFixture)
+BOOST_FIXTURE_TEST_CASE(retryPolicy_withRefundAndErrorOfServer_forwardsTheError, RetryFixture)
 {
     BOOST_TEST((after(AttemptEvent::ServerError).action == RetryAction::AnswerCaller));
     BOOST_TEST((after(AttemptEvent::ShedByServer).action == RetryAction::AnswerCaller));
     BOOST_TEST((after(AttemptEvent::Partial).refusal.outcome == Outcome::Unknown));
 }
 
-RC_BOOST_FIXTURE_PROP(retryPolicy_withAnyHistory_keepsItsPromises, RetryFixture, (bool idempotent, bool hasKey))
+RC_BOOST_FIXTURE_PROP(retryPolicy_withAnyHistory_retriesAndReportsCorrectly,
+                      RetryFixture,
+                      (bool idempotent, bool hasKey))
 {
     progress.idempotent = idempotent;
     progress.hasIdempotencyKey = hasKey;
@@ -159,8 +162,8 @@
     }
 }
 
-// A service fails every request. Retrying each would treble its load at the worst moment, and callers of healthy
-// workspaces would wait behind the retries.
+// A service fails every request. To retry each would treble its load when it is least able to serve it, and callers of
+// healthy workspaces would wait behind the retries.
 BOOST_FIXTURE_TEST_CASE(retryBudget_underSteadyFailure_allowsOnlyItsShare, RetryFixture)
 {
     int allowed = 0;
@@ -173,7 +176,7 @@
     BOOST_TEST(allowed < 1100);
 }
 
-BOOST_FIXTURE_TEST_CASE(retryBudget_spentByOneWorkspace_staysForAnother, RetryFixture)
+BOOST_FIXTURE_TEST_CASE(retryBudget_spentByOneWorkspace_isLeftForAnother, RetryFixture)
 {
     const base::WorkspaceId quiet("quiet");
     for (int i = 0; i < 100; ++i) {
@@ -184,7 +187,7 @@
     BOOST_TEST(budget.spend(progress.service, quiet));
 }
 
-BOOST_FIXTURE_TEST_CASE(retryBudget_withoutTraffic_isForgotten, RetryFixture)
+BOOST_FIXTURE_TEST_CASE(retryBudget_withoutTraffic_isRemoved, RetryFixture)
 {
     budget.countRequest(progress.service, progress.workspace);
     clock.advance(101s);
@@ -192,7 +195,7 @@
     BOOST_TEST(budget.size() == 0u);
 }
 
-BOOST_FIXTURE_TEST_CASE(timeouts_withAttemptsLeft_giveSilentServerAPart, RetryFixture)
+BOOST_FIXTURE_TEST_CASE(timeouts_withAttemptsLeft_giveSilentServerAPartOfTheTime, RetryFixture)
 {
     progress.serverAttempts = 1;
     BOOST_TEST((policy.timeouts(progress, 25ms).answer == 100ms));
--- a/src/routing/routetable_test.cpp
+++ b/src/routing/routetable_test.cpp
@@ -32,10 +32,10 @@
     }
 };
 
-/// What the table promises, in the plainest way: look at every route.
-const config::Route *slowMatch(const std::vector<config::Route> &routes,
-                               const std::string &host,
-                               const std::string &path)
+/// Reference implementation of the matching rules, which examines every route.
+const config::Route *referenceMatch(const std::vector<config::Route> &routes,
+                                    const std::string &host,
+                                    const std::string &path)
 {
     const config::Route *best = nullptr;
     for (const auto &candidate : routes) {
@@ -60,7 +60,7 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(routeTable_withNestedPrefixes_takesLongestOnSegmentBorder, RouteTableFixture)
+BOOST_FIXTURE_TEST_CASE(routeTable_withNestedPrefixes_matchesLongestOnSegmentBorder, RouteTableFixture)
 {
     routes = {route("all", "", "/"), route("refunds", "", "/refunds"), route("paid", "", "/refunds/paid/")};
     BOOST_TEST(match("any", "POST", "/refunds") == "refunds");
@@ -88,8 +88,8 @@
     BOOST_TEST(match("h", "DELETE", "/stock") == "all");
 }
 
-// A caller writes the path of a refund so that it looks like a lookup: with dot segments, escapes or doubled slashes
-// that the backend server resolves. Routed as a lookup the refund would be repeated on silence, and paid twice.
+// A caller writes the path of a refund like that of a lookup, with dot segments, escapes or doubled slashes that the
+// backend server resolves. Routed as a lookup, the refund would be repeated after a timeout and paid twice.
 BOOST_FIXTURE_TEST_CASE(routeTable_withAmbiguousPath_matchesNothing, RouteTableFixture)
 {
     routes = {route("lookups", "", "/lookups"), route("refunds", "", "/refunds"), route("all", "", "/")};
@@ -116,7 +116,7 @@
     BOOST_TEST(match("h", "POST", "/lookups/a%2Fb") == "lookups idempotent");
 }
 
-RC_BOOST_PROP(routeTable_withRandomRoutes_agreesWithLookingAtEach, ())
+RC_BOOST_PROP(routeTable_withRandomRoutes_agreesWithReference, ())
 {
     const auto word = rc::gen::element<std::string>("a", "b", "ab", "c");
     const auto path = rc::gen::map(rc::gen::container<std::vector<std::string>>(word), [](const auto &words) {
@@ -137,7 +137,7 @@
     parts.routes = routes;
     const RouteTable table(std::make_shared<const config::Configuration>(1, parts));
     const auto asked = *path;
-    const auto *expected = slowMatch(routes, "x", asked);
+    const auto *expected = referenceMatch(routes, "x", asked);
     const auto found = table.match("X:80", "POST", asked);
     RC_ASSERT(found.has_value() == (expected != nullptr));
     if (found) {
--- a/src/routing/routing_measure.cpp
+++ b/src/routing/routing_measure.cpp
@@ -44,7 +44,8 @@
     std::cout << line.dump() << '\n';
 }
 
-/// The least time of several rounds, per call: the others were disturbed by the machine.
+/// Returns the shortest time per call of several rounds, as the longer ones were disturbed by other load on the
+/// machine.
 double nanosecondsPerCall(int calls, const std::function<void(int)> &call)
 {
     constexpr int rounds = 7;
@@ -122,8 +123,8 @@
     return candidates;
 }
 
-/// Requests come at a steady rate to four zones' entries and stay for an exponential time, in simulated time.
-/// Waiting is what a request spends in the queue of its server because its slots are busy.
+/// Simulates requests that arrive at a steady rate at the entries of four zones and take an exponentially distributed
+/// time. The waiting time is the time that a request spends in the queue of its server because its slots are busy.
 void measureBalance(const PlacementPolicy &policy, int count, double use, std::uint64_t seed)
 {
     constexpr double service = 25.0; // ms
@@ -221,7 +222,7 @@
             config::BackendServer server;
             server.id = base::BackendServerId("server" + std::to_string(i) + "-" + std::to_string(each));
             server.service = service.id;
-            // One VM of the first service is replaced with each revision.
+            // Each revision replaces one VM of the first service.
             const int shift = i == 0 && each == 0 ? static_cast<int>(revision) : 0;
             server.vm = base::VmId("vm" + std::to_string((i * 7 + each * 131 + shift) % vms));
             parts.backendServers.push_back(std::move(server));
@@ -231,7 +232,7 @@
     return std::make_shared<const config::Configuration>(revision, std::move(parts));
 }
 
-/// What a change of the configuration costs a node's ledger.
+/// Measures the time that a node's ledger takes for a change of the configuration.
 void measureMove(std::uint64_t seed)
 {
     for (const int services : {100, 400, 1200}) {
@@ -323,7 +324,7 @@
     const std::map<std::string, void (*)(std::uint64_t)> measures{
         {"route-match", measureRouteMatch}, {"placement", measurePlacement}, {"ledger-cost", measureLedger}};
     if (!measure.empty() && !measures.contains(measure)) {
-        std::cerr << "unknown case " << measure << '\n';
+        std::cerr << "unknown case: " << measure << '\n';
         return 2;
     }
     for (const auto &[name, run] : measures) {
--- a/src/routing/slotsurvey_test.cpp
+++ b/src/routing/slotsurvey_test.cpp
@@ -13,7 +13,7 @@
 
 using Kind = SurveyStep::Kind;
 
-/// Six servers, of which the first two stand in the zone of the entry.
+/// Six servers, of which the first two are in the zone of the entry.
 struct SurveyFixture
 {
     SurveyFixture()
@@ -69,7 +69,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(slotSurvey, SurveyFixture)
 
-BOOST_AUTO_TEST_CASE(survey_freeServerInOwnZone_isTakenAtOnce)
+BOOST_AUTO_TEST_CASE(survey_freeServerInOwnZone_isChosenAtOnce)
 {
     SlotSurvey asked = survey();
     const SurveyStep first = next(asked);
@@ -81,8 +81,8 @@
     BOOST_TEST(step.candidate == 1U);
 }
 
-// All servers of the zone are full. Without another question the request would queue behind them though servers of the
-// other zone stand idle, and its caller would wait for nothing.
+// All servers of the own zone are full. Without another wave the request would be queued there although servers of the
+// other zone are idle, and its caller would wait without need.
 BOOST_AUTO_TEST_CASE(survey_ownZoneFull_findsFreeSlotElsewhere)
 {
     SlotSurvey asked = survey();
@@ -97,7 +97,7 @@
     BOOST_TEST(next(asked).candidate == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(survey_nobodyFree_takesShortestQueue)
+BOOST_AUTO_TEST_CASE(survey_noServerFree_choosesShortestQueue)
 {
     SlotSurvey asked = survey();
     next(asked);
@@ -113,9 +113,9 @@
     BOOST_TEST(step.candidate == 3U);
 }
 
-// An overload: no server could answer in time. The caller is told at once, and when the soonest server has room,
-// instead of being sent from one full server to the next until half of its time is gone.
-BOOST_AUTO_TEST_CASE(survey_allTooLate_refusesAtOnceWithTheSoonestWait)
+// In an overload no server could answer in time. The caller is refused at once, with the shortest wait as the time for
+// a retry; otherwise the request would be sent from one full server to the next until half of its time is gone.
+BOOST_AUTO_TEST_CASE(survey_allTooLate_refusesAtOnceWithTheShortestWait)
 {
     SlotSurvey asked = survey();
     next(asked);
@@ -131,8 +131,8 @@
     BOOST_TEST((step.retryAfter == 800ms));
 }
 
-// A node is cut off one way: it gets everything and none of its answers come back. A refund handed to it would run, and
-// its caller would never hear of it. A node that does not answer the question gets no request.
+// The network path of a node fails in one direction: it receives all messages, but its answers are lost. A refund sent
+// to it would run, and its caller would get no answer. So a node that does not answer the survey gets no request.
 BOOST_AUTO_TEST_CASE(survey_silentNode_getsNoRequest)
 {
     SlotSurvey asked = survey(3);
@@ -148,7 +148,7 @@
     BOOST_TEST(next(asked).candidate == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(survey_nobodyAnswers_refusesAsNotSent)
+BOOST_AUTO_TEST_CASE(survey_withoutAnswers_refusesAsUnacknowledged)
 {
     SlotSurvey asked = survey(2);
     next(asked);
@@ -158,7 +158,7 @@
     BOOST_TEST((step.code == base::ResultCode::HopUnacknowledged));
 }
 
-BOOST_AUTO_TEST_CASE(survey_allGray_takesTheLeastGrayAsLastResort)
+BOOST_AUTO_TEST_CASE(survey_allGray_choosesTheLeastGrayAsLastResort)
 {
     SlotSurvey asked = survey(2);
     next(asked);
@@ -170,9 +170,9 @@
     BOOST_TEST(step.lastResort);
 }
 
-// Guards against all entries sending all work to the least gray server, where it finds no room, while others that are
-// held back stand idle.
-BOOST_AUTO_TEST_CASE(survey_allGrayAndTheLeastGrayFull_takesOneWithRoom)
+// Guards against all entries sending all work to the least gray server, which is full, while others that are held back
+// are idle.
+BOOST_AUTO_TEST_CASE(survey_allGrayAndTheLeastGrayFull_choosesOneWithRoom)
 {
     request.idempotent = true;
     SlotSurvey asked = survey(2);
@@ -185,8 +185,8 @@
     BOOST_TEST(step.lastResort);
 }
 
-// Guards against handing a booking to a server that will most likely fail it: nobody could say whether it ran.
-BOOST_AUTO_TEST_CASE(survey_allSurelyGray_takesOnlyWhatMayBeRepeated)
+// Guards against sending a booking to a server that will most likely fail it, as its outcome would be unknown.
+BOOST_AUTO_TEST_CASE(survey_allVeryLikelyGray_acceptsOnlyIdempotentRequests)
 {
     for (const bool idempotent : {true, false}) {
         request.idempotent = idempotent;
@@ -199,9 +199,9 @@
     }
 }
 
-// One server of the zone is a little slower than the others. Always asked after them, it would get nothing at light
-// load, and nobody would know how it is when it is needed.
-BOOST_AUTO_TEST_CASE(survey_slowerServerOfTheZone_isAskedNowAndThen)
+// One server of the zone is a little slower than the others. If it were always asked after them, it would get no work
+// at light load, and its state would be unknown when it is needed.
+BOOST_AUTO_TEST_CASE(survey_slowerServerOfTheZone_isAskedSometimes)
 {
     for (std::size_t index = 2; index < 6; ++index) {
         candidates[index].zone = request.zone;
@@ -217,9 +217,9 @@
     BOOST_TEST(asked < 50);
 }
 
-// All that would take it are full, and one server is held back though it is more likely well than not. A refusal would
-// certainly be of no use to the caller.
-BOOST_AUTO_TEST_CASE(survey_othersFullAndOneInDoubt_triesTheOneInDoubt)
+// One server is held back although it is more likely healthy than not, and all others are full. A refusal would
+// certainly have no value for the caller.
+BOOST_AUTO_TEST_CASE(survey_othersFullAndOnePossiblyGray_choosesThatServer)
 {
     SlotSurvey asked = survey(2);
     next(asked);
@@ -231,9 +231,9 @@
     BOOST_TEST(step.lastResort);
 }
 
-// A lookup is refused in an overload. The users' engineer must see from one line whether the servers were full, held
-// back as gray, or not to be reached, and by how much the nearest slot was too late.
-BOOST_AUTO_TEST_CASE(survey_refused_tellsWhatEachNodeSaid)
+// A lookup is refused in an overload. One log line must show the users' engineer whether the servers were full, held
+// back as gray or unreachable, and by how much the earliest slot was too late.
+BOOST_AUTO_TEST_CASE(survey_refused_countsTheAnswersOfTheNodes)
 {
     SlotSurvey asked = survey(4);
     const std::vector<std::size_t> first = next(asked).ask;
@@ -250,9 +250,9 @@
     BOOST_TEST(text.str() == "asked:4,full:2,held:1,silent:1,soonestMs:700");
 }
 
-// Both have a free slot, and the slower one had no request for a second. Taken never, it would count as unused capacity
-// whose state nobody knows.
-BOOST_AUTO_TEST_CASE(survey_slowerServerWithoutWork_isTaken)
+// Both servers have a free slot, and the slower one has had no request for a second. If it were never chosen, its
+// capacity would stay unused and its state unknown.
+BOOST_AUTO_TEST_CASE(survey_slowerServerWithoutWork_isChosen)
 {
     SlotSurvey asked = survey(2);
     next(asked);
@@ -263,15 +263,15 @@
     BOOST_TEST(step.candidate == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(idleness_afterASecond_isForgotten)
+BOOST_AUTO_TEST_CASE(idleTime_afterASecond_isOutdated)
 {
-    ServerIdleTimes book(clock);
+    ServerIdleTimes records(clock);
     const base::BackendServerId server("s1");
-    BOOST_TEST((book.idle(server) == 0ms));
-    book.record(server, 2s);
-    BOOST_TEST((book.idle(server) == 2s));
+    BOOST_TEST((records.idle(server) == 0ms));
+    records.record(server, 2s);
+    BOOST_TEST((records.idle(server) == 2s));
     clock.advance(1s);
-    BOOST_TEST((book.idle(server) == 0ms));
+    BOOST_TEST((records.idle(server) == 0ms));
 }
 
 BOOST_AUTO_TEST_CASE(survey_noCandidate_refuses)
@@ -282,16 +282,16 @@
     BOOST_TEST((step.code == base::ResultCode::NoBackendServer));
 }
 
-BOOST_AUTO_TEST_CASE(silence_afterASecond_isForgotten)
+BOOST_AUTO_TEST_CASE(silence_afterASecond_isOutdated)
 {
-    SilentNodes book(clock);
-    BOOST_TEST(book.markSilent(base::VmId("vm-1")));
-    BOOST_TEST(!book.markSilent(base::VmId("vm-1")));
-    BOOST_TEST(book.isSilent(base::VmId("vm-1")));
+    SilentNodes records(clock);
+    BOOST_TEST(records.markSilent(base::VmId("vm-1")));
+    BOOST_TEST(!records.markSilent(base::VmId("vm-1")));
+    BOOST_TEST(records.isSilent(base::VmId("vm-1")));
     clock.advance(1s);
-    BOOST_TEST(!book.isSilent(base::VmId("vm-1")));
-    BOOST_TEST(book.markResponsive(base::VmId("vm-1")));
-    BOOST_TEST(!book.markResponsive(base::VmId("vm-1")));
+    BOOST_TEST(!records.isSilent(base::VmId("vm-1")));
+    BOOST_TEST(records.markResponsive(base::VmId("vm-1")));
+    BOOST_TEST(!records.markResponsive(base::VmId("vm-1")));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
