--- a/src/include/papayastep/limits/messages.h
+++ b/src/include/papayastep/limits/messages.h
@@ -9,48 +9,52 @@
 #include <string>
 #include <vector>
 
-/// What token brokers tell each other. All are one-way; each may be lost, repeated, late or crossed. Amounts are
-/// Tokens, times are microseconds.
+/// Messages between the rate limiters of a fleet. All are one-way; each may be lost, duplicated, delayed or reordered.
+/// Amounts are in Tokens and times in microseconds unless a field states another unit.
+///
+/// An ask is a request for tokens of one workspace that one node sends to another. A grant is an amount of tokens that
+/// a node gives in answer to it.
 namespace papayastep::limits {
 
-/// A wish for tokens of one workspace.
+/// An ask for tokens of one workspace, sent to the holder of a share.
 struct TokenAsk
 {
     base::WorkspaceId workspace;
-    std::uint64_t askId = 0; ///< Number of the wish within the incarnation of its sender.
-    Tokens urgent = 0; ///< Requests wait for these.
-    Tokens wanted = 0; ///< These would be of use, `urgent` included.
-    bool loan = false; ///< From the holder of another share: answer from your own level, and ask nobody.
+    std::uint64_t askId = 0; ///< Number of the ask, unique within the incarnation of its sender.
+    Tokens urgent = 0; ///< Tokens that requests are waiting for.
+    Tokens wanted = 0; ///< Tokens that the sender can use, including `urgent`.
+    /// The sender holds another share. The receiver answers from its own level and asks no other holder.
+    bool loan = false;
 
     auto operator<=>(const TokenAsk &) const = default;
     MSGPACK_DEFINE(workspace, askId, urgent, wanted, loan)
 };
 
-/// What became of one grant so far. The amounts are totals since the grant, so a repeated or overtaken message
-/// changes nothing.
+/// A report on the use of one grant. The amounts are totals since the grant, so a duplicated or reordered report has no
+/// effect.
 struct GrantUse
 {
     base::WorkspaceId workspace;
-    base::Incarnation holder = 0; ///< Incarnation of the holder that granted.
+    base::Incarnation holder = 0; ///< Incarnation of the holder that made the grant.
     std::uint64_t grantId = 0;
     Tokens spent = 0;
-    Tokens unused = 0; ///< Given up by the receiver, which will never spend them.
+    Tokens unused = 0; ///< Tokens that the receiver of the grant returned and will never spend.
 
     auto operator<=>(const GrantUse &) const = default;
     MSGPACK_DEFINE(workspace, holder, grantId, spent, unused)
 };
 
-/// Kind TokenRequest. Entry -> holder, or holder -> holder of another share.
+/// Message of kind TokenRequest, sent by an entry node to a holder, or by a holder to the holder of another share.
 struct TokenRequest
 {
     std::vector<TokenAsk> asks;
-    std::vector<GrantUse> uses; ///< Rides along for earlier grants.
+    std::vector<GrantUse> uses; ///< Reports on earlier grants, sent in the same message.
 
     auto operator<=>(const TokenRequest &) const = default;
     MSGPACK_DEFINE(asks, uses)
 };
 
-/// Kind TokenReturn.
+/// Message of kind TokenReturn: reports on earlier grants without an ask.
 struct TokenReturn
 {
     std::vector<GrantUse> uses;
@@ -59,10 +63,10 @@
     MSGPACK_DEFINE(uses)
 };
 
-/// Tokens that may be spent until `validity` after the receiver *asked*.
+/// One grant. Its tokens may be spent until `validity` has passed since the receiver sent the ask.
 struct GrantPart
 {
-    std::uint64_t grantId = 0; ///< Number within the incarnation of the holder.
+    std::uint64_t grantId = 0; ///< Number of the grant, unique within the incarnation of the holder.
     Tokens amount = 0;
     std::uint32_t validity = 0;
 
@@ -70,48 +74,52 @@
     MSGPACK_DEFINE(grantId, amount, validity)
 };
 
-/// The one answer to a TokenAsk.
+/// The answer to a TokenAsk. Each ask gets one answer.
 struct GrantAnswer
 {
     std::uint64_t askId = 0;
     std::vector<GrantPart> parts;
-    std::uint32_t reportWithin = 0; ///< Tell of spending within this time, or the share refills late; 0: no need.
-    std::uint32_t retryAfter = 0; ///< When the next token is expected, if fewer than `urgent` were granted.
-    Tokens level = 0; ///< What the answering share has left.
-    bool busy = false; ///< The share has refused some of its own requests lately.
+    /// Time within which spends must be reported, because the share refills late otherwise; 0 if no report is needed.
+    std::uint32_t reportWithin = 0;
+    /// Time until the next token is expected; set if fewer than `urgent` were granted.
+    std::uint32_t retryAfter = 0;
+    Tokens level = 0; ///< Tokens left in the answering share.
+    bool busy = false; ///< The share has recently refused some of its own requests.
 
     auto operator<=>(const GrantAnswer &) const = default;
     MSGPACK_DEFINE(askId, parts, reportWithin, retryAfter, level, busy)
 };
 
-/// Kind TokenGrant. Holder -> asker.
+/// Message of kind TokenGrant, sent by a holder to the node that asked.
 struct TokenGrant
 {
-    base::Incarnation asker = 0; ///< Of the asks answered; another incarnation's grants are ignored.
+    /// Incarnation that sent the asks. A node ignores grants for another incarnation than its own.
+    base::Incarnation asker = 0;
     std::vector<GrantAnswer> answers;
 
     auto operator<=>(const TokenGrant &) const = default;
     MSGPACK_DEFINE(asker, answers)
 };
 
-/// A wish for tokens out of a workspace's one pool. See PooledLimiter.
+/// An ask for tokens from the pool of a workspace. See PooledLimiter.
 struct PoolTokenAsk
 {
     base::WorkspaceId workspace;
-    std::uint64_t askId = 0; ///< Number of the wish within the incarnation of its sender.
-    std::uint32_t urgent = 0; ///< Requests wait for these.
-    std::uint32_t wanted = 0; ///< These would be of use, `urgent` included.
-    bool relayed = false; ///< Asked on behalf of another node: not to be passed on again.
-    /// Tokens that the sender got from others than the home while that was silent: in all since its start, and of these
-    /// the part that no home has to charge any more.
+    std::uint64_t askId = 0; ///< Number of the ask, unique within the incarnation of its sender.
+    std::uint32_t urgent = 0; ///< Whole tokens that requests are waiting for.
+    std::uint32_t wanted = 0; ///< Whole tokens that the sender can use, including `urgent`.
+    bool relayed = false; ///< Sent on behalf of another node; the receiver does not forward it again.
+    /// Whole tokens that the sender has used since its start and that did not come from the home because it did not
+    /// answer.
     std::uint64_t grantedElsewhere = 0;
-    std::uint64_t settledElsewhere = 0;
+    std::uint64_t settledElsewhere = 0; ///< Part of `grantedElsewhere` that no home has to charge any more.
 
     auto operator<=>(const PoolTokenAsk &) const = default;
     MSGPACK_DEFINE(workspace, askId, urgent, wanted, relayed, grantedElsewhere, settledElsewhere)
 };
 
-/// Kind PoolAsk. Entry -> home of the pool, or -> a node that passes it on.
+/// Message of kind PoolAsk, sent by an entry node to the home of the pool or to a node that forwards it. Without asks
+/// it requests only a sign of life.
 struct PoolAsk
 {
     std::vector<PoolTokenAsk> asks;
@@ -120,33 +128,37 @@
     MSGPACK_DEFINE(asks)
 };
 
+/// The answer to a PoolTokenAsk.
 struct PoolAnswer
 {
     std::uint64_t askId = 0;
-    bool decided = true; ///< False: the sender is no home and reaches none.
+    /// False if the sender did not decide, for example because it is not the home and reaches no home.
+    bool decided = true;
     std::uint32_t granted = 0;
-    std::uint32_t retryAfterMs = 0; ///< When the next token is expected, if fewer than `urgent` were granted.
-    bool standIn = false; ///< The tokens are none of the home's.
+    /// Time in milliseconds until the next token is expected; set if fewer than `urgent` were granted.
+    std::uint32_t retryAfterMs = 0;
+    bool standIn = false; ///< The tokens do not come from the pool of the home.
 
     auto operator<=>(const PoolAnswer &) const = default;
     MSGPACK_DEFINE(askId, decided, granted, retryAfterMs, standIn)
 };
 
-/// Kind PoolGrant, the answer to PoolAsk.
+/// Message of kind PoolGrant, the answer to a PoolAsk.
 struct PoolGrant
 {
-    base::Incarnation asker = 0; ///< Of the asks answered; another incarnation's grants are ignored.
+    /// Incarnation that sent the asks. A node ignores grants for another incarnation than its own.
+    base::Incarnation asker = 0;
     std::vector<PoolAnswer> answers;
 
     auto operator<=>(const PoolGrant &) const = default;
     MSGPACK_DEFINE(asker, answers)
 };
 
-/// Kind TenureQuery. A VM asks the witnesses of its zone whether they know a newer VM list than its own, and tells
-/// them of its own. See ZoneTenure.
+/// Message of kind TenureQuery. A VM asks the witnesses of its zone whether they know of a newer VM list than its own,
+/// and reports its own list to them. See ZoneTenure.
 struct TenureQuery
 {
-    std::uint64_t queryId = 0; ///< Number within the incarnation of the asker.
+    std::uint64_t queryId = 0; ///< Number of the query, unique within the incarnation of the sender.
     std::uint64_t listVersion = 0;
     std::uint64_t membersHash = 0; ///< Hash of the zone's VMs in that list.
 
@@ -154,14 +166,14 @@
     MSGPACK_DEFINE(queryId, listVersion, membersHash)
 };
 
-/// Kind TenureAnswer.
+/// Message of kind TenureAnswer, the answer of a witness to a TenureQuery.
 struct TenureAnswer
 {
-    base::Incarnation asker = 0;
+    base::Incarnation asker = 0; ///< Incarnation that sent the query.
     std::uint64_t queryId = 0;
-    std::uint64_t listVersion = 0; ///< The newest list that the witness has heard of, held or not.
-    std::uint64_t membersHash = 0; ///< Hash of the zone's VMs in it.
-    std::uint64_t unchangedFor = 0; ///< How long the witness has known the zone to have these VMs.
+    std::uint64_t listVersion = 0; ///< Newest list that the witness knows of, even if it has not received that list.
+    std::uint64_t membersHash = 0; ///< Hash of the zone's VMs in that newest list.
+    std::uint64_t unchangedFor = 0; ///< Time for which the witness has known the zone to have these VMs.
 
     auto operator<=>(const TenureAnswer &) const = default;
     MSGPACK_DEFINE(asker, queryId, listVersion, membersHash, unchangedFor)
--- a/src/include/papayastep/limits/pooledlimiter.h
+++ b/src/include/papayastep/limits/pooledlimiter.h
@@ -9,62 +9,70 @@
 
 namespace papayastep::limits {
 
+/// Settings of PooledLimiter. Excess and debt are in tokens or as fractions of rate and burst.
 struct PoolSettings
 {
-    /// What the pool gives beyond the stated rate and burst. Requests bunch on their way from the caller to the entry,
-    /// so a caller who keeps exactly to its rate would now and then be refused. Operators say what they tolerate over
-    /// some seconds (a quarter more and 20 requests, at the sites measured); a part of it is left for two nodes that
-    /// take themselves for home of one pool.
+    /// Fraction by which the pool exceeds the configured rate. Requests arrive in bunches after their way from the
+    /// caller to the entry, so a caller that keeps exactly to its rate would occasionally be refused. Operators
+    /// tolerate an excess over some seconds (a quarter more and 20 requests); a part of it is left for the case that
+    /// two nodes both act as home of one pool.
     double rateExcess = 0.12;
-    double burstExcess = 6; ///< Tokens.
+    double burstExcess = 6; ///< Tokens by which the pool exceeds the configured burst.
 
-    /// A home that has not answered after it is passed over. Twenty round trips within a region; a node on a fifth of
-    /// a core needs some milliseconds of its own.
+    /// Time after which a home that has not answered is suspected and the next one is asked. It covers twenty round
+    /// trips within a region; a node that runs on a fifth of a core needs some milliseconds itself.
     base::Duration askTimeout = std::chrono::milliseconds(60);
-    base::Duration suspicionTime = std::chrono::seconds(1); ///< How long a silent node is passed over.
-    int maxHomesTried = 2; ///< Silent homes until a request is decided alone: it must not wait longer than it runs.
+    /// Time for which a node that did not decide an ask is skipped.
+    base::Duration suspicionTime = std::chrono::seconds(1);
+    /// Homes that are asked before a request is decided locally. More would let it wait longer than it runs.
+    int maxHomesTried = 2;
 
-    base::Duration prefetch = std::chrono::milliseconds(200); ///< An entry asks for this much of its demand.
+    base::Duration prefetch = std::chrono::milliseconds(200); ///< Time whose demand an entry asks for in advance.
     base::Duration stockLifetime
-        = std::chrono::milliseconds(500); ///< Of tokens that an entry has asked for in advance.
+        = std::chrono::milliseconds(500); ///< Lifetime of the tokens that an entry has in stock.
 
-    /// A stand-in gives their parts to who asked it so lately; where requests are rare, for longer.
+    /// Time for which a stand-in counts an entry that has asked it. Where requests are rare, the time is longer, up to
+    /// `maxAskerRetention`.
     base::Duration askerRetention = std::chrono::seconds(2);
     base::Duration maxAskerRetention = std::chrono::seconds(10);
 
-    /// A home asks those for a sign of life of whom it has not heard for so long, and keeps back the parts of those
-    /// that have not answered in another such time.
+    /// Time after which a home probes a node from which it has received nothing. If the node does not answer within the
+    /// same time again, the home withholds its part of the rate.
     base::Duration probeInterval = std::chrono::milliseconds(600);
 
-    /// Tokens that an entry got elsewhere are charged to the home's pool up to twice this time later. What is older lay
-    /// beyond the burst to which the pool fills up.
+    /// Tokens that an entry did not get from the home are charged to the pool of the home for one to two times this
+    /// time. Older ones need no charge: the pool, which fills only up to its burst, would not hold them any more.
     base::Duration debtRetention = std::chrono::seconds(1);
-    double maxDebtBursts = 1; ///< Of the burst: a pool is not charged further below nothing.
+    double maxDebtBursts = 1; ///< Largest debt of a pool, in bursts. A pool is not charged beyond it.
 
-    /// Tokens that come back to an entry, because no server had room, are kept for its next requests. More than this
-    /// many at each entry would be spent together when room is found: with two, and stand-ins that begin a quarter
-    /// full, a flood at 22 entries got 626 of 612 tolerated in 5 s.
+    /// Largest number of tokens in stock to which a returned token is added. Tokens are returned to an entry if no
+    /// backend server had room, and are kept for its next requests. If each entry kept more, all would be spent at once
+    /// when room is found: with two, and stand-ins that start a quarter full, an overload at 22 entries was admitted
+    /// 626 requests in 5 s where 612 are tolerated.
     double maxReturnedTokens = 1;
 
-    /// What a node may admit alone while it reaches no home: its even part of the rate, and this many tokens at once.
+    /// Burst in tokens of a node that reaches no home and admits locally. Its rate is its equal part of the workspace's
+    /// rate.
     double localBurst = 1;
 };
 
-/// One pool of tokens for each workspace, held by one VM (its home, by rendezvous hash over the VM list). Each entry
-/// asks the home for what it needs, so the whole rate is at hand wherever requests come in.
+/// Rate limiter with one pool of tokens for each workspace. One VM holds the pool: its home, chosen by rendezvous
+/// hashing over the VM list. Each entry (the node that receives a request) asks the home for the tokens that it needs,
+/// so the whole rate is available wherever requests arrive.
 ///
-/// What can go wrong is that the home is silent to some entries. Callers inside their rate must not be refused for it:
-/// the next node in the order stands in, or the entry admits alone. So that no token is given twice, each entry stands
-/// for an even part of the rate. A stand-in gives the parts of those who ask it, an entry alone its own, and the home
-/// keeps back the parts of those that have fallen silent to it. What was given elsewhere before the home noticed, it
-/// learns from the entry and charges to its pool. docs/design/limits.md has the sums.
+/// The home may fail to answer some entries. Callers within their rate must not be refused because of that: the next
+/// node in the hash order acts as stand-in, or the entry admits locally. So that no token is given twice, each entry
+/// accounts for an equal part of the rate. A stand-in gives out the parts of the entries that ask it, an entry that
+/// admits locally its own part, and the home withholds the parts of the nodes that do not answer its probes. Tokens
+/// that were given elsewhere before the home detected the failure are reported by the entry and charged to the pool as
+/// debt. docs/design/limits.md contains the calculation.
 class PooledLimiter final : public RateLimiter
 {
 public:
     PooledLimiter(NodeIdentity self, const base::Clock &clock, PoolSettings settings = {});
 
     void applyConfiguration(config::ConfigurationPtr configuration) override;
-    void applyVmList(const config::VmList &list, base::TimePoint heardAt) override;
+    void applyVmList(const config::VmList &list, base::TimePoint requestedAt) override;
     Admission acquire(const base::WorkspaceId &workspace,
                       const base::RequestId &request,
                       base::TimePoint deadline) override;
@@ -86,7 +94,7 @@
     std::size_t activeWorkspaces() const override;
 
 private:
-    /// Tokens that grow with time. Levels are in tokens.
+    /// Token bucket. Levels are in tokens.
     struct Bucket
     {
         double level = 0;
@@ -95,79 +103,80 @@
         void refill(double rate, double burst, base::TimePoint now);
     };
 
-    /// A node was asked for a sign of life and has given none.
+    /// Probe of a node from which nothing has been received. It is open until the node sends a message.
     struct Probe
     {
         base::TimePoint firstSentAt;
         base::TimePoint lastSentAt;
     };
 
-    /// An entry that asked this node for tokens of a workspace.
+    /// Entry that has asked this node for tokens of a workspace.
     struct Asker
     {
         base::TimePoint askedAt;
         base::Incarnation incarnation = 0;
-        std::uint64_t charged = 0; ///< Of what that incarnation got elsewhere.
+        std::uint64_t charged = 0; ///< Debt of that incarnation that is charged to the pool, in tokens.
     };
 
-    /// The pool of a workspace at its home or a stand-in.
+    /// Pool of a workspace at its home or at a stand-in.
     struct Pool
     {
         Bucket bucket;
-        base::TimePoint servingSince; ///< When this node began to give.
+        base::TimePoint servingSince; ///< Time at which this node started to give tokens of the pool.
         bool isHome = false; ///< Whether this node was the home when the pool was last used.
-        base::TimePoint lastRetryTime; ///< Times to come back were given out up to here.
+        base::TimePoint lastRetryTime; ///< Latest retry time that was given to a refused request.
         std::map<base::VmId, Asker> askers;
-        base::TimePoint fractionUpdatedAt; ///< When `part` was worked out.
-        double rateFraction = 1; ///< Of the rate, that this pool gives.
+        base::TimePoint fractionUpdatedAt; ///< Time at which `rateFraction` was updated.
+        double rateFraction = 1; ///< Fraction of the workspace's rate that this pool gives.
     };
 
-    /// What an entry got from others than the home, in tokens since the start.
+    /// Tokens that an entry has used since its start and that did not come from the home.
     struct Debt
     {
         std::uint64_t total = 0;
-        std::uint64_t settled = 0; ///< Charged by a home, or too old to matter.
-        std::uint64_t totalAtMark = 0; ///< `total` at `mark`.
+        std::uint64_t settled = 0; ///< Part of `total` that a home has charged or that is too old to be charged.
+        std::uint64_t totalAtMark = 0; ///< Value of `total` at `markedAt`.
         base::TimePoint markedAt;
     };
 
-    /// What one workspace has at this entry.
+    /// State of one workspace at this entry.
     struct Entry
     {
-        double stock = 0; ///< Tokens asked for in advance.
+        double stock = 0; ///< Tokens that were asked for in advance or returned.
         base::TimePoint stockUntil;
-        double demand = 0; ///< Requests per second, smoothed.
+        double demand = 0; ///< Requests per second, as an exponential moving average.
         base::TimePoint demandUpdatedAt;
         Bucket localBucket;
         bool localBucketUsed = false;
         Debt debt;
     };
 
-    /// What became of a workspace's requests here since `since`, by whose tokens; and what was given to others.
+    /// Numbers of requests of a workspace at this node since `since`, by the source of their tokens, and of the tokens
+    /// given to other nodes.
     struct AdmissionTally
     {
         base::TimePoint since;
-        int stock = 0; ///< Out of tokens asked for in advance, or given back.
-        int home = 0;
-        int standIn = 0;
-        int alone = 0;
+        int stock = 0; ///< Admitted with tokens in stock.
+        int home = 0; ///< Admitted with tokens of the home.
+        int standIn = 0; ///< Admitted with tokens of a stand-in.
+        int alone = 0; ///< Admitted locally.
         int refused = 0;
         int givenBack = 0;
-        int granted = 0; ///< Out of the pool at this node, its own requests included.
+        int granted = 0; ///< Tokens given from the pool at this node, including those for its own requests.
     };
 
-    /// Who waits for the answer to a wish.
+    /// An ask that has not been answered yet, and the requests or the node that wait for the answer.
     struct PendingAsk
     {
         base::WorkspaceId workspace;
-        std::vector<base::RequestId> requests; ///< Of this entry, in order.
+        std::vector<base::RequestId> requests; ///< Waiting requests of this entry, in order.
         std::uint32_t wanted = 0;
-        base::VmId home; ///< Who was asked.
-        base::TimePoint timeoutAt; ///< When the home counts as silent.
-        std::uint64_t reportedDebt = 0; ///< The debt that the home was told of.
+        base::VmId home; ///< VM that was asked.
+        base::TimePoint timeoutAt; ///< Time at which the home is suspected if it has not answered.
+        std::uint64_t reportedDebt = 0; ///< Debt that the ask reported to the home.
         int homesTried = 0;
-        // On behalf of another node:
-        base::VmId asker; ///< Empty: our own wish.
+        // Set if the ask is made on behalf of another node:
+        base::VmId asker; ///< Node that asked; empty for an ask of this node.
         base::Incarnation askerIncarnation = 0;
         std::uint64_t askerAskId = 0;
         std::uint32_t askerUrgent = 0;
@@ -195,7 +204,7 @@
     void recordAsker(const config::Workspace &workspace,
                      const base::VmId &from,
                      base::Incarnation incarnation,
-                     const PoolTokenAsk &wish);
+                     const PoolTokenAsk &tokenAsk);
     void addDebt(const base::WorkspaceId &workspace, std::uint32_t tokens);
     Debt &currentDebt(const base::WorkspaceId &workspace);
     std::uint32_t takeFromPool(const config::Workspace &workspace, std::uint32_t urgent, std::uint32_t wanted);
@@ -203,12 +212,12 @@
     bool takeLocally(const config::Workspace &workspace, Entry &entry);
     Token makeToken(const base::WorkspaceId &workspace) const;
 
-    void askNextHome(PendingAsk wish);
+    void askNextHome(PendingAsk pending);
     void queueAnswer(const base::VmId &to, base::Incarnation incarnation, const PoolAnswer &answer);
-    void decideLocally(const PendingAsk &wish);
-    void completeAsk(const PendingAsk &wish, std::uint32_t granted, base::Duration retryAfter, bool ofHome);
-    void receiveAsk(const base::VmId &from, base::Incarnation incarnation, const PoolAsk &ask);
-    void receiveTokenAsk(const base::VmId &from, base::Incarnation incarnation, const PoolTokenAsk &wish);
+    void decideLocally(const PendingAsk &pending);
+    void completeAsk(const PendingAsk &pending, std::uint32_t granted, base::Duration retryAfter, bool ofHome);
+    void receiveAsk(const base::VmId &from, base::Incarnation incarnation, const PoolAsk &message);
+    void receiveTokenAsk(const base::VmId &from, base::Incarnation incarnation, const PoolTokenAsk &tokenAsk);
     void receiveGrant(const base::VmId &from, const PoolGrant &grant);
     void suspectHome(const base::VmId &home);
 
@@ -221,23 +230,27 @@
     const base::Clock &m_clock;
     const PoolSettings m_settings;
     config::ConfigurationPtr m_configuration;
-    std::vector<base::VmId> m_vms; ///< Not leaving, sorted.
-    mutable std::unordered_map<base::WorkspaceId, std::vector<base::VmId>> m_homes; ///< Of `m_vms`, once asked for.
+    std::vector<base::VmId> m_vms; ///< VMs of the list that are not leaving, sorted.
+    /// Cached results of rankHomes() for `m_vms`.
+    mutable std::unordered_map<base::WorkspaceId, std::vector<base::VmId>> m_homes;
     std::uint64_t m_listVersion = 0;
-    base::TimePoint m_listChangedAt; ///< Pools that are new since then begin nearly empty.
+    base::TimePoint m_listChangedAt; ///< Time of the last change of `m_vms`. A pool at a new home refills from then on.
     std::unordered_map<base::WorkspaceId, Pool> m_pools;
     std::unordered_map<base::WorkspaceId, Entry> m_entries;
-    std::map<std::uint64_t, PendingAsk> m_pendingAsks; ///< By number, so by age.
-    std::map<base::VmId, base::TimePoint> m_suspectedUntil; ///< Until when.
-    std::map<base::VmId, base::TimePoint> m_silentSince; ///< Homes that did not answer, until heard of again.
-    std::map<base::VmId, base::TimePoint> m_lastReceivedAt; ///< When a node last sent anything about rates.
+    std::map<std::uint64_t, PendingAsk> m_pendingAsks; ///< Ordered by ask id and thus by age.
+    /// Time until which a VM that did not decide an ask is skipped.
+    std::map<base::VmId, base::TimePoint> m_suspectedUntil;
+    /// Times at which homes first did not decide an ask, until a message of theirs is received.
+    std::map<base::VmId, base::TimePoint> m_silentSince;
+    std::map<base::VmId, base::TimePoint> m_lastReceivedAt; ///< Time of the last rate limiting message of each node.
     std::map<base::VmId, Probe> m_probes;
-    std::size_t m_lastProbedIndex = 0; ///< Place in `m_vms`.
-    base::TimePoint m_lastProbeRoundAt; ///< When nodes were last asked for signs of life.
-    std::map<base::VmId, base::TimePoint> m_removedAt; ///< When VMs went off the list.
-    std::map<base::VmId, PoolAsk> m_outgoingAsks; ///< To be sent.
-    std::map<std::pair<base::VmId, base::Incarnation>, PoolGrant> m_outgoingGrants; ///< To be sent.
-    std::map<base::WorkspaceId, AdmissionTally> m_tallies; ///< Not yet written down.
+    std::size_t m_lastProbedIndex = 0; ///< Index in `m_vms` of the node that was considered last.
+    base::TimePoint m_lastProbeRoundAt; ///< Time at which nodes were last probed.
+    std::map<base::VmId, base::TimePoint> m_removedAt; ///< Times at which VMs were removed from the list.
+    std::map<base::VmId, PoolAsk> m_outgoingAsks; ///< Asks to send with the next takeMessages().
+    /// Answers to send with the next takeMessages().
+    std::map<std::pair<base::VmId, base::Incarnation>, PoolGrant> m_outgoingGrants;
+    std::map<base::WorkspaceId, AdmissionTally> m_tallies; ///< Tallies that are not logged yet.
     std::vector<AdmissionDecision> m_decisions;
     LimiterCounters m_counters;
     std::uint64_t m_lastAsk = 0;
--- a/src/include/papayastep/limits/ratelimiter.h
+++ b/src/include/papayastep/limits/ratelimiter.h
@@ -12,7 +12,7 @@
 
 namespace papayastep::limits {
 
-/// Who this node is.
+/// Identity of a node in the messages of its rate limiter.
 struct NodeIdentity
 {
     base::VmId vm;
@@ -20,13 +20,14 @@
     base::Incarnation incarnation = 0;
 };
 
-/// The request may go on, now.
+/// The request is admitted.
 struct Admitted
 {
     Token token;
 };
 
-/// The verdict comes with TokenBroker::takeDecisions(), at the latest after BrokerSettings::waitLimit.
+/// The request waits for a token. takeDecisions() returns its decision, with TokenBroker after at most
+/// BrokerSettings::waitLimit.
 struct Waiting
 {
 };
@@ -35,123 +36,127 @@
 struct Refused
 {
     base::ResultCode code = base::ResultCode::RateExceeded;
-    base::Duration retryAfter{}; ///< When a token is expected.
-    base::VmId decidedBy{}; ///< Who holds the tokens and decided, where that is known.
-    bool unanswered = false; ///< Nobody who holds tokens answered in time, so this node decided alone.
+    base::Duration retryAfter{}; ///< Time until a token is expected.
+    base::VmId decidedBy{}; ///< VM that holds the tokens and refused the request; empty if unknown.
+    bool unanswered = false; ///< No holder of tokens answered in time, so this node decided locally.
 };
 
 using Admission = std::variant<Admitted, Waiting, Refused>;
 
-/// The late verdict on a request that was Waiting. Never Waiting again.
+/// The decision on a request that was Waiting. `admission` is Admitted or Refused.
 struct AdmissionDecision
 {
     base::RequestId request;
     Admission admission;
 };
 
-/// One share of a workspace's rate and burst, as this node sees it.
+/// One share of a workspace's rate and burst, as known at this node.
 struct ShareStatus
 {
     base::ZoneId zone;
-    base::VmId holder; ///< Empty: the zone has no VM that could hold it.
-    bool held = false; ///< This node is the holder and may grant. The numbers below are only then set.
+    base::VmId holder; ///< VM that holds the share; empty if the zone has no VM that can hold it.
+    /// This node holds the share and may grant. `level`, `outstanding` and `borrowed` are meaningful only then.
+    bool held = false;
     double rate = 0; ///< Tokens per second of this share.
     double burst = 0;
-    double level = 0; ///< Tokens ready.
-    double outstanding = 0; ///< Tokens granted, and neither known to be spent, nor returned, nor expired.
-    double borrowed = 0; ///< Tokens of other shares at hand.
+    double level = 0; ///< Tokens available.
+    double outstanding = 0; ///< Tokens granted that are neither reported as spent, nor returned, nor expired.
+    double borrowed = 0; ///< Tokens borrowed from other shares that are still available.
 };
 
-/// For `papayastep status`.
+/// State of one workspace at this node, as `papayastep status` prints it.
 struct WorkspaceStatus
 {
     base::WorkspaceId workspace;
     base::Revision revision = 0;
-    double entryTokens = 0; ///< Tokens that this node holds as an entry.
-    double demand = 0; ///< Requests per second that came in here lately.
+    double entryTokens = 0; ///< Tokens that this node has received as an entry and not spent.
+    double demand = 0; ///< Recent requests per second at this node.
     std::vector<ShareStatus> shares;
 };
 
-/// Totals since the start, for metrics.
+/// Totals since the start of the node, exported as metrics.
 struct LimiterCounters
 {
     std::uint64_t admitted = 0;
-    std::uint64_t admittedWaiting = 0; ///< Of these, after a wait for a holder.
+    std::uint64_t admittedWaiting = 0; ///< Requests among `admitted` that waited for a holder.
     std::uint64_t refused = 0;
-    std::uint64_t refusedUnanswered = 0; ///< Of these, because no holder answered in time.
+    std::uint64_t refusedUnanswered = 0; ///< Requests among `refused` for which no holder answered in time.
     std::uint64_t givenBack = 0;
     std::uint64_t asksSent = 0;
     std::uint64_t grantsMade = 0;
     std::uint64_t loansMade = 0;
-    double tokensGranted
-        = 0; ///< Whole tokens in these grants, to this node's own requests too where it holds the share.
-    double tokensLent = 0; ///< Whole tokens in these loans.
-    std::uint64_t admittedLocally = 0; ///< Of the admitted, without a word of any holder.
+    /// Whole tokens in these grants, including those for this node's own requests if it holds the pool.
+    double tokensGranted = 0;
+    double tokensLent = 0; ///< Whole tokens in the loans counted by `loansMade`.
+    /// Requests among `admitted` that were admitted locally because no holder answered.
+    std::uint64_t admittedLocally = 0;
     std::uint64_t returnsReceived = 0;
     std::uint64_t messagesSent = 0;
-    std::uint64_t messagesIgnored = 0; ///< Late, repeated, from a stranger, or malformed.
-    std::uint64_t tenuresLost = 0; ///< Times that this node had to stop granting for want of proof.
-    std::uint64_t pauses = 0; ///< Times that the node was found to have been asleep.
+    std::uint64_t messagesIgnored = 0; ///< Messages that were late, duplicated, malformed or from an unexpected sender.
+    /// Number of times that this node stopped granting because its proof of being the holder had expired.
+    std::uint64_t tenuresLost = 0;
+    std::uint64_t pauses = 0; ///< Number of times that a stopped clock was detected.
 };
 
-/// Admits the requests that enter at this node, so that all nodes together keep to the rate and burst of each
-/// workspace. Ways differ in what they do when they can't know: refuse, so that the cap holds whatever happens
-/// (TokenBroker), or serve within an excess that operators tolerate (PooledLimiter).
+/// Admits or refuses the requests that arrive at this node, so that all nodes together keep to the rate and burst of
+/// each workspace. The implementations differ in what they do while they cannot reach a holder of tokens: TokenBroker
+/// refuses, so that the cap always holds; PooledLimiter admits within an excess that operators tolerate.
 ///
-/// Opens no socket; not thread-safe. After each call that may have decided something, the caller takes messages and
-/// decisions.
+/// Opens no socket and is not thread-safe. After each call that may have changed its state, the caller takes messages
+/// and decisions.
 class RateLimiter
 {
 public:
     virtual ~RateLimiter() = default;
 
-    /// Puts `configuration` in force.
+    /// Applies `configuration`.
     virtual void applyConfiguration(config::ConfigurationPtr configuration) = 0;
 
-    /// `heardAt`: when the platform was *asked* for the list. Older versions than the one in force are ignored.
-    virtual void applyVmList(const config::VmList &list, base::TimePoint heardAt) = 0;
+    /// Applies a VM list. `requestedAt` is the time at which the list was requested from the platform, not of the
+    /// answer. Versions older than the current one are ignored.
+    virtual void applyVmList(const config::VmList &list, base::TimePoint requestedAt) = 0;
 
-    /// Takes one token for `request`. A wait ends well before `deadline`.
+    /// Takes one token for `request`. If the request waits, the wait ends well before `deadline`.
     virtual Admission acquire(const base::WorkspaceId &workspace,
                               const base::RequestId &request,
                               base::TimePoint deadline)
         = 0;
 
-    /// Forgets a waiting request whose caller has gone.
+    /// Removes a waiting request whose caller has disconnected. It gets no decision.
     virtual void cancelWaiting(const base::RequestId &request) = 0;
 
-    /// The request of `token` was refused as not run. Call it once for a token.
+    /// Returns `token` because its request was refused and not run. Called at most once for each token.
     virtual void giveBack(const Token &token) = 0;
 
-    /// A message of kind 10-19 came in. Never throws for bad payloads; counts them.
+    /// Handles a received message of kind 10-19. Malformed payloads are counted and do not throw.
     virtual void receive(const base::VmId &from,
                          base::Incarnation incarnation,
                          wire::MessageKind kind,
                          std::string_view payload)
         = 0;
 
-    /// Does what is due. Late calls do no harm to the cap.
+    /// Handles timers that are due. Late calls do not break the cap.
     virtual void tick() = 0;
 
-    /// When tick() is next needed; nothing while the node has nothing to wait for.
+    /// Time at which tick() is due next; nullopt if no timer is pending.
     virtual std::optional<base::TimePoint> nextTick() const = 0;
 
-    /// This node is about to stop: refuses who waits, and grants nothing from now on.
+    /// Prepares for the stop of this node, which grants no tokens to other nodes from now on.
     virtual void drain() = 0;
 
     virtual std::vector<wire::Outgoing> takeMessages() = 0;
     virtual std::vector<AdmissionDecision> takeDecisions() = 0;
 
-    /// Whether this node can do its part. False for some seconds after a start, where that needs time.
+    /// Whether this node can hold and grant tokens. With TokenBroker this is false for some seconds after a start.
     virtual bool isReady() const = 0;
 
-    /// Whether a repeat on another backend server pays a token of its own.
+    /// Whether a retry on another backend server takes a token of its own.
     virtual bool chargesRepeats() const = 0;
 
     virtual WorkspaceStatus status(const base::WorkspaceId &workspace) const = 0;
     virtual const LimiterCounters &counters() const = 0;
 
-    /// Workspaces that have any state here.
+    /// Number of workspaces for which this node keeps state.
     virtual std::size_t activeWorkspaces() const = 0;
 };
 
--- a/src/include/papayastep/limits/runtimes.h
+++ b/src/include/papayastep/limits/runtimes.h
@@ -8,29 +8,29 @@
 
 namespace papayastep::limits {
 
-/// How long runs take at one backend server, by route.
+/// Run times of requests at one backend server, by route.
 ///
-/// A server may serve requests that take a second and calls that take a tenth of it. Judged by the mean of both, a call
-/// seems too long for its deadline and is refused, and a long request seems to hang.
+/// A backend server may serve requests that take a second and calls that take a tenth of that. With one mean for both,
+/// a call is expected to miss its deadline and is refused, and a long request looks as if it hung.
 class RunTimes
 {
 public:
-    /// `firstGuess`: taken before the first run.
-    explicit RunTimes(base::Duration firstGuess);
+    /// `initialEstimate` is the mean until the first run is recorded.
+    explicit RunTimes(base::Duration initialEstimate);
 
     void record(const base::RouteId &route, base::Duration run);
 
-    /// Over all routes, as they come.
+    /// Mean over all runs, regardless of their route.
     base::Duration mean() const;
-    /// Leans on mean() until the route has some runs.
+    /// Mean run time of `route`. While the route has few runs, the result is weighted towards mean().
     base::Duration mean(const base::RouteId &route) const;
 
-    /// How many runs the figures are made of.
+    /// Number of recorded runs.
     std::size_t runs() const;
     std::size_t runs(const base::RouteId &route) const;
 
 private:
-    /// A mean that follows about the last runs.
+    /// Moving mean over about the last 8 runs.
     struct Mean
     {
         base::Duration value{0};
--- a/src/include/papayastep/limits/slotqueue.h
+++ b/src/include/papayastep/limits/slotqueue.h
@@ -15,7 +15,7 @@
 
 namespace papayastep::limits {
 
-/// One try to run a request. A retry has another number.
+/// One attempt to run a request. A retry has another attempt number.
 struct AttemptId
 {
     base::RequestId request;
@@ -24,74 +24,79 @@
     auto operator<=>(const AttemptId &) const = default;
 };
 
+/// Settings of SlotQueue.
 struct SlotQueueSettings
 {
-    std::size_t maxQueued = 256; ///< Over all workspaces.
+    std::size_t maxQueued = 256; ///< Longest queue, over all workspaces.
     std::size_t maxQueuedPerWorkspace = 64;
-    base::Duration initialRunTime = std::chrono::milliseconds(50); ///< First guess of how long an attempt runs.
+    base::Duration initialRunTime = std::chrono::milliseconds(50); ///< Estimate of the run time before the first run.
 
-    /// How much of a usual run must fit between start and deadline. With 0 an attempt may start at its deadline.
+    /// Part of the mean run time that must fit between start and deadline. With 0 an attempt may start at its deadline.
     double runTimeReserve = 0;
 
-    /// How far beyond the moment at which an answer is wanted, as a share of the time from there to the deadline, an
-    /// answer may be expected and the attempt is still queued. A long queue makes every answer late without one more
-    /// being given; a short one refuses in a burst what could still be served. 1: up to the deadline.
+    /// Latest expected answer with which an attempt is still queued, as a fraction of the time between
+    /// QueueOffer::wantedBy (0) and the deadline (1). A long queue makes every answer late without raising the
+    /// throughput; a short queue refuses attempts in a burst that could still be served.
     double maxLateness = 1;
 
-    /// Which part of the time that is left beside a usual run may be expected to pass in the queue. With all of it, an
-    /// attempt that is overtaken by a more urgent one, or meets a long run, has waited for nothing, and every answer of
-    /// an overload comes at the last moment. Slots are as busy with a short queue as with a long one. 1: all.
+    /// Largest expected wait, as a fraction of the time that remains beside the mean run time; 1 allows all of it. If
+    /// all of it is allowed, an attempt that is overtaken by a more urgent one or waits for a long run has waited in
+    /// vain, and every answer in an overload comes at the last moment. A short queue keeps the slots as busy as a long
+    /// one.
     double maxWaitFraction = 1;
 
-    /// Of what a more urgent tier gets, the next one gets this part while both wait. Above 0, since a kind of request
-    /// that is never served helps nobody; small, since the more urgent one should not suffer first.
+    /// Weight of a tier relative to the next more urgent one while attempts of both wait. It is above 0 so that no tier
+    /// starves, and small so that the less urgent tier is delayed first.
     double nextTierWeight = 0.25;
 };
 
-/// An attempt that asks for a slot.
+/// An attempt that requests a slot.
 struct QueueOffer
 {
     AttemptId attempt;
     base::WorkspaceId workspace;
     base::TimePoint deadline;
-    int priority = 0; ///< 0 is the most urgent.
-    std::optional<base::TimePoint> wantedBy; ///< An answer after it is worth less to the caller.
-    base::RouteId route{}; ///< By which its run time is judged.
-    /// A call of a run that is at work elsewhere. It goes first and may wait until its deadline: refused, it takes with
-    /// it what the run has done, and the run holds a slot until the call has its answer.
+    int priority = 0; ///< Priority of the attempt; 0 is the most urgent.
+    std::optional<base::TimePoint> wantedBy; ///< Time after which an answer is worth less to the caller.
+    base::RouteId route{}; ///< Route by which the run time is estimated.
+    /// The attempt is a call made by a request that is running on another backend server. It is started first and may
+    /// wait until its deadline: if it is refused, the work of that request is lost, and the request holds a slot until
+    /// the call is answered.
     bool isCall = false;
 };
 
-/// The answer to an offer. An accepted attempt gets a decision from poll(), perhaps at once.
+/// The result of an offer. For an accepted attempt poll() returns a decision, possibly at once.
 struct OfferResult
 {
     bool accepted = false;
-    base::ResultCode code = base::ResultCode::Ok; ///< Why it was refused.
-    base::Duration retryAfter{}; ///< When the attempt could start, as far as can be told; 0 where accepted by offer().
+    base::ResultCode code = base::ResultCode::Ok; ///< Reason of a refusal.
+    base::Duration retryAfter{}; ///< Expected time until the attempt could start; 0 if accepted by offer().
 };
 
-/// What becomes of a queued attempt.
+/// The decision on a queued attempt.
 struct QueueDecision
 {
     AttemptId attempt;
-    bool start = false; ///< False: dropped, and never started.
-    base::ResultCode code = base::ResultCode::Ok; ///< Why it was dropped.
+    bool start = false; ///< False if the attempt was dropped and will never start.
+    base::ResultCode code = base::ResultCode::Ok; ///< Reason for which the attempt was dropped.
     base::Duration retryAfter{};
 };
 
+/// The result of cancelling an attempt.
 enum class CancelOutcome {
-    NeverStarted, ///< It was queued, and never will start.
-    Started, ///< It occupies a slot.
-    Unknown, ///< It is not here (any more).
+    NeverStarted, ///< The attempt was queued and will never start.
+    Started, ///< The attempt occupies a slot.
+    Unknown, ///< The attempt is not, or no longer, in the queue or in a slot.
 };
 
 /// The queue in front of one backend server.
 ///
-/// Attempts wait in tiers by priority, calls of runs before all others. While several tiers wait, each gets a fixed
-/// part of what the next more urgent one gets. Within a tier slots go to workspaces in turn (deficit round robin with a
-/// quantum of one request), so a workspace that floods the queue delays itself, not the others. When the queue is full,
-/// the newest attempt of the longest workspace queue of the least urgent tier makes room. An attempt that can't be
-/// answered in time is refused or dropped at once, so that it can still be refused as not run while its caller waits.
+/// Attempts wait in tiers by priority; calls made by running requests come before all others. While attempts of several
+/// tiers wait, each tier gets a fixed fraction of the slots of the next more urgent one. Within a tier, slots go to
+/// workspaces in turn (deficit round robin with a quantum of one request), so a workspace that overloads the queue
+/// delays only itself. When the queue is full, the newest attempt in the longest workspace queue of the least urgent
+/// tier is evicted. An attempt that can't be answered in time is refused or dropped at once, so that it can be reported
+/// as not run while its caller is still waiting.
 class SlotQueue
 {
 public:
@@ -99,35 +104,37 @@
 
     OfferResult offer(const QueueOffer &offer);
 
-    /// What offer() would say now, with the wait also where it would accept. Changes nothing.
+    /// Returns what offer() would return now, with the expected wait also for an attempt that it would accept. Does not
+    /// change the queue.
     OfferResult quote(const QueueOffer &offer) const;
     OfferResult offer(const AttemptId &attempt, const base::WorkspaceId &workspace, base::TimePoint deadline);
 
-    /// Decisions due now. Starting an attempt occupies a slot until finished().
+    /// Returns the decisions that are due. An attempt that starts occupies a slot until finished().
     std::vector<QueueDecision> poll();
 
     CancelOutcome cancel(const AttemptId &attempt);
 
-    /// The attempt has left its slot. Ignored for one that has none. `usual`: its run time tells how long runs take. A
-    /// server that fails at once would else look fast, and all that waits for it soon served.
-    void finished(const AttemptId &attempt, bool usual = true);
+    /// Frees the slot of the attempt; ignored if it has none. `recordRunTime` is false for a failed run: a backend
+    /// server that fails at once would otherwise look fast, and the expected waits would be too short.
+    void finished(const AttemptId &attempt, bool recordRunTime = true);
 
-    /// Fewer slots than running attempts: none starts until enough have finished.
+    /// Sets the number of slots. If it is lower than the number of running attempts, none starts until enough have
+    /// finished.
     void setSlots(int slots);
 
-    /// When poll() will drop an attempt even if none finishes.
+    /// Time at which poll() will drop an attempt even if no other one finishes; nullopt if none is queued.
     std::optional<base::TimePoint> nextTick() const;
 
     int slots() const;
     std::size_t running() const;
     std::size_t queued() const;
 
-    /// How long an attempt offered now would wait for its slot, judged by recent run times.
+    /// Expected wait for a slot of an attempt offered now, from recent run times.
     base::Duration expectedWait(const base::WorkspaceId &workspace, int tier = 0) const;
 
-    /// How long recent runs took.
+    /// Recent run times.
     const RunTimes &runTimes() const;
-    /// When the last run ended, if none is at work.
+    /// Time at which the last run finished; nullopt while an attempt is running.
     std::optional<base::TimePoint> idleSince() const;
 
 private:
@@ -147,12 +154,13 @@
         base::WorkspaceId workspace;
         std::deque<Queued> attempts;
     };
-    /// The attempts of one priority: workspaces in the order of their turns.
+    /// The queued attempts of one priority, with the workspaces in the order of their turns.
     struct Tier
     {
         std::list<WorkspaceQueue> queues;
         std::size_t size = 0;
-        double pass = 0; ///< Rises with each start; the tier with the smallest goes next (stride scheduling).
+        /// Pass value of stride scheduling: rises with each start; the tier with the smallest one is next.
+        double pass = 0;
     };
     using Tiers = std::map<int, Tier>;
     struct QueuedPosition
@@ -178,12 +186,12 @@
     const base::Clock &m_clock;
     SlotQueueSettings m_settings;
     int m_slots;
-    Tiers m_tiers; ///< Only those in which attempts wait.
-    double m_pass = 0; ///< Of the tier that went last; a tier that comes begins there.
+    Tiers m_tiers; ///< Tiers with queued attempts.
+    double m_pass = 0; ///< Pass value of the tier that started an attempt last; a new tier starts with it.
     std::map<AttemptId, QueuedPosition> m_queued;
-    std::set<std::pair<base::TimePoint, AttemptId>> m_deadlines; ///< Latest starts.
+    std::set<std::pair<base::TimePoint, AttemptId>> m_deadlines; ///< Latest start times.
     std::map<AttemptId, Running> m_running;
-    std::vector<QueueDecision> m_evicted; ///< Pushed out by an offer, to be told by the next poll().
+    std::vector<QueueDecision> m_evicted; ///< Attempts evicted by an offer, to be returned by the next poll().
     RunTimes m_runTimes;
     std::optional<base::TimePoint> m_lastFinishedAt;
 };
--- a/src/include/papayastep/limits/tokenbroker.h
+++ b/src/include/papayastep/limits/tokenbroker.h
@@ -6,25 +6,28 @@
 
 namespace papayastep::limits {
 
-/// Times of the token protocol. All nodes of a fleet need the same grantValidity, evidenceLifetime, shareGrowthDelay,
-/// clockDriftBound and clockStopBound: the cap rests on these.
+/// Settings of the token protocol. All nodes of a fleet must use the same grantValidity, evidenceLifetime,
+/// shareGrowthDelay, clockDriftBound and clockStopBound, because the cap depends on them.
 struct BrokerSettings
 {
-    base::Duration grantValidity = std::chrono::seconds(1); ///< How long a granted token may be spent.
-    base::Duration evidenceLifetime = std::chrono::seconds(3); ///< How long proof of being the holder lasts.
-    double clockDriftBound = 0.001; ///< The most that two clocks drift apart, as a fraction of the time passed.
-    base::Duration clockStopBound = std::chrono::milliseconds(200); ///< A clock that stood still longer is noticed.
-    base::Duration shareGrowthDelay = std::chrono::seconds(10); ///< A configuration is in force everywhere after it.
-    base::Duration waitLimit = std::chrono::milliseconds(90); ///< A request waits no longer for a token.
-    base::Duration askTimeout = std::chrono::milliseconds(40); ///< A silent holder is passed over after it.
-    base::Duration loanTimeout = std::chrono::milliseconds(25); ///< A holder waits no longer for other shares.
-    base::Duration prefetch = std::chrono::milliseconds(250); ///< An entry node asks for this much of its demand.
+    base::Duration grantValidity = std::chrono::seconds(1); ///< Time for which a granted token may be spent.
+    base::Duration evidenceLifetime = std::chrono::seconds(3); ///< Lifetime of the proof that a VM holds its shares.
+    double clockDriftBound = 0.001; ///< Largest drift between two clocks, as a fraction of the elapsed time.
+    base::Duration clockStopBound = std::chrono::milliseconds(200); ///< Longest clock stop that is not detected.
+    /// Time after which a configuration is in force on all nodes.
+    base::Duration shareGrowthDelay = std::chrono::seconds(10);
+    base::Duration waitLimit = std::chrono::milliseconds(90); ///< Longest wait of a request for a token.
+    /// Time after which a holder that has not answered is skipped.
+    base::Duration askTimeout = std::chrono::milliseconds(40);
+    base::Duration loanTimeout = std::chrono::milliseconds(25); ///< Longest wait of a holder for loans of other shares.
+    base::Duration prefetch = std::chrono::milliseconds(250); ///< Time whose demand a node asks for in advance.
 };
 
-/// The token side of one node: takes tokens for the requests that enter here, and holds the shares that the VM list
-/// gives to this VM. Opens no socket; not thread-safe.
+/// Rate limiter in which each availability zone holds a share of a workspace's rate and burst. It takes tokens for the
+/// requests that arrive at this node, and holds the shares that the VM list assigns to this VM. Opens no socket and is
+/// not thread-safe.
 ///
-/// After each call that may have decided something, the caller takes messages and decisions.
+/// After each call that may have changed its state, the caller takes messages and decisions.
 class TokenBroker final : public RateLimiter
 {
 public:
@@ -33,15 +36,17 @@
     TokenBroker(TokenBroker &&) noexcept;
     TokenBroker &operator=(TokenBroker &&) noexcept;
 
-    /// Older revisions than the one in force are ignored.
+    /// Applies `configuration`. Revisions that are not newer than the current one are ignored.
     void applyConfiguration(config::ConfigurationPtr configuration) override;
-    /// A fresh list is proof that this node still holds its shares, so call it for an unchanged list too.
-    void applyVmList(const config::VmList &list, base::TimePoint heardAt) override;
+    /// Applies a VM list. A list that was just read proves that this node still holds its shares, so this is called for
+    /// an unchanged list too.
+    void applyVmList(const config::VmList &list, base::TimePoint requestedAt) override;
     Admission acquire(const base::WorkspaceId &workspace,
                       const base::RequestId &request,
                       base::TimePoint deadline) override;
     void cancelWaiting(const base::RequestId &request) override;
-    /// A token whose spending is known to its holder already is lost: its place may have been refilled.
+    /// Returns `token`. A token that was already reported to its holder as spent is lost, because the share may have
+    /// refilled since.
     void giveBack(const Token &token) override;
     void receive(const base::VmId &from,
                  base::Incarnation incarnation,
@@ -49,12 +54,12 @@
                  std::string_view payload) override;
     void tick() override;
     std::optional<base::TimePoint> nextTick() const override;
-    /// Its shares are not handed over; the next holders start empty.
+    /// Refuses the waiting requests and stops granting. The shares are not handed over; the next holders start empty.
     void drain() override;
     std::vector<wire::Outgoing> takeMessages() override;
     std::vector<AdmissionDecision> takeDecisions() override;
-    /// Whether the shares that the VM list gives to this VM are in its hands. False for some seconds after a start,
-    /// while an earlier holder could still grant.
+    /// Whether this VM holds the shares that the VM list assigns to it. False for some seconds after a start, while an
+    /// earlier holder could still grant.
     bool isReady() const override;
     bool chargesRepeats() const override;
     WorkspaceStatus status(const base::WorkspaceId &workspace) const override;
--- a/src/limits/baselines.cpp
+++ b/src/limits/baselines.cpp
@@ -22,7 +22,7 @@
     {
         m_level = std::min(m_burst, m_level + m_rate * std::chrono::duration<double>(now - m_at).count());
         m_at = now;
-        // The sums are rounded; a token that is all but there counts.
+        // The sums are rounded, so a level that is short of a token only by rounding counts.
         constexpr double rounding = 1e-9;
         if (m_level + rounding < 1) {
             return false;
@@ -62,7 +62,7 @@
     return oneWay || mute || split;
 }
 
-/// The requests of one workspace, in the order of their coming.
+/// Returns the requests of one workspace in order of arrival.
 std::vector<RequestRecord> requestsOf(const std::vector<RequestRecord> &requests, std::size_t workspace)
 {
     std::vector<RequestRecord> own;
@@ -77,7 +77,7 @@
     return own;
 }
 
-/// Whether `node` was started anew between two times, and so forgot its bucket.
+/// Whether `node` restarted between two times and so lost its bucket.
 bool restarted(const std::vector<Fault> &faults, int node, SimTime from, SimTime to)
 {
     return std::any_of(faults.begin(), faults.end(), [&](const Fault &fault) {
--- a/src/limits/baselines.h
+++ b/src/limits/baselines.h
@@ -4,15 +4,16 @@
 
 #include <vector>
 
-/// For the measure program only: simpler schemes, fed with the same requests and faults.
+/// Simpler rate limiters that replay the same requests and faults, for the measure program only.
 namespace papayastep::limits {
 
-/// When one bucket for the whole fleet, which sees every request at once, would admit requests of a workspace.
+/// Returns the times at which one bucket for the whole fleet, which receives every request without delay, admits
+/// requests of a workspace.
 std::vector<SimTime> idealBucket(const std::vector<RequestRecord> &requests,
                                  const config::Workspace &terms,
                                  std::size_t workspace);
 
-/// Every node has an equal part of rate and burst, but at least a burst of one request.
+/// Rate limiter in which every node has an equal part of rate and burst, but at least a burst of one request.
 class EqualSplit
 {
 public:
@@ -27,7 +28,8 @@
     const std::vector<config::Workspace> &m_workspaces;
 };
 
-/// One node holds the whole bucket of a workspace and is asked for every request. It starts with a full bucket.
+/// Rate limiter in which one node holds the whole bucket of a workspace and is asked for every request. It starts with
+/// a full bucket.
 class OneOwner
 {
 public:
--- a/src/limits/brokercontext.cpp
+++ b/src/limits/brokercontext.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr base::Duration suspicionTime = std::chrono::seconds(1);
-constexpr std::chrono::duration<double> remembered = std::chrono::hours(24);
+constexpr std::chrono::duration<double> changeRetention = std::chrono::hours(24);
 
 }
 
@@ -34,12 +34,12 @@
     return true;
 }
 
-bool BrokerContext::applyVmList(const config::VmList &newer, base::TimePoint heardAt)
+bool BrokerContext::applyVmList(const config::VmList &newer, base::TimePoint requestedAt)
 {
     if (newer.version < list.version) {
         return false;
     }
-    tenure.applyList(newer, heardAt);
+    tenure.applyList(newer, requestedAt);
     if (newer.version == list.version) {
         return false;
     }
@@ -88,12 +88,12 @@
     if (growth == m_growths.end() || clock.now() < growth->second.until) {
         return since;
     }
-    // At the time of growth it held what its old fraction allowed.
+    // When the share grew, it held at most what its old fraction allowed.
     const ShareTerms now = ownTerms(workspace);
     const ShareTerms before = termsOf(workspace, growth->second.fraction, settings.clockDriftBound);
     const double fillSeconds
         = static_cast<double>(before.burst) / static_cast<double>(std::max<Tokens>(1, now.ratePerSecond));
-    const auto fill = std::chrono::duration<double>(std::min(fillSeconds, remembered.count()));
+    const auto fill = std::chrono::duration<double>(std::min(fillSeconds, changeRetention.count()));
     return std::max(since, growth->second.until - std::chrono::duration_cast<base::Duration>(fill));
 }
 
@@ -113,13 +113,13 @@
     return found != m_suspectedUntil.end() && clock.now() < found->second;
 }
 
-/// Walks both sorted lists side by side: a change of configuration must not stall the node.
+/// Compares both sorted lists in one pass, because a change of configuration must not block the node.
 void BrokerContext::recordChanges(const config::Configuration &before,
                                   const config::Configuration &after,
                                   const ShareMap &oldShares)
 {
     const base::TimePoint now = clock.now();
-    const base::TimePoint longAgo = now - std::chrono::duration_cast<base::Duration>(remembered);
+    const base::TimePoint longAgo = now - std::chrono::duration_cast<base::Duration>(changeRetention);
     std::erase_if(m_removed, [longAgo](const auto &entry) { return entry.second < longAgo; });
     std::erase_if(m_growths, [longAgo](const auto &entry) { return entry.second.until < longAgo; });
     auto next = after.workspaces().begin();
--- a/src/limits/brokercontext.h
+++ b/src/limits/brokercontext.h
@@ -12,31 +12,32 @@
 
 namespace papayastep::limits {
 
-/// What all workspaces of one broker have in common.
+/// State that all workspaces of one broker share.
 class BrokerContext
 {
 public:
     BrokerContext(const NodeIdentity &self, const base::Clock &clock, const BrokerSettings &settings);
 
-    /// True if it is now in force.
+    /// Returns true if the configuration is newer and was applied.
     bool applyConfiguration(config::ConfigurationPtr configuration);
-    bool applyVmList(const config::VmList &list, base::TimePoint heardAt);
+    bool applyVmList(const config::VmList &list, base::TimePoint requestedAt);
 
-    /// Rises whenever holders, shares or their terms may have changed.
+    /// Number that rises whenever holders, shares or their terms may have changed.
     std::uint64_t topology();
 
-    /// Null for a workspace that the configuration in force does not have.
+    /// Returns the configured workspace, or null if the current configuration does not contain it.
     const config::Workspace *workspace(const base::WorkspaceId &id) const;
 
-    /// Terms of this node's own share of `workspace`. A share that a change of configuration lets grow keeps its old
-    /// size until the change is in force everywhere: the others shrink only when they hear of it.
+    /// Terms of this node's own share of `workspace`. A share that grows with a new configuration keeps its old size
+    /// until the configuration is in force on all nodes, because the other shares shrink only when their holders
+    /// receive it.
     ShareTerms ownTerms(const config::Workspace &workspace) const;
 
-    /// Since when a share of `workspace` may have filled, as far as changes of configuration bound it. A workspace that
-    /// was taken away and came back, or a share that grew, does not begin full: its tokens may be spent elsewhere.
+    /// Earliest time from which a share of `workspace` may refill after changes of configuration. A workspace that was
+    /// removed and added again, or a share that grew, does not start full, because its tokens may be spent elsewhere.
     base::TimePoint fillsSince(const config::Workspace &workspace) const;
 
-    /// A VM that did not answer is passed over for a while.
+    /// Skips `vm` for a while, because it did not answer.
     void suspect(const base::VmId &vm);
     void clearSuspicion(const base::VmId &vm);
     bool isSuspected(const base::VmId &vm) const;
@@ -51,7 +52,7 @@
     config::ConfigurationPtr configuration;
     config::VmList list;
     ShareMap shares;
-    std::unordered_map<std::uint64_t, base::WorkspaceId> askWorkspaces; ///< Pending asks -> for which workspace.
+    std::unordered_map<std::uint64_t, base::WorkspaceId> askWorkspaces; ///< Workspaces of the pending asks, by ask id.
     bool draining = false;
     std::uint64_t lastGrant = 0;
     std::uint64_t lastAsk = 0;
@@ -60,7 +61,7 @@
 private:
     struct Growth
     {
-        double fraction = 0; ///< The smallest fraction of the configurations before.
+        double fraction = 0; ///< Smallest fraction in the previous configurations.
         base::TimePoint until;
     };
 
@@ -70,9 +71,10 @@
     void recordGrowth(const config::Workspace &before, const config::Workspace &after, const ShareMap &oldShares);
 
     std::uint64_t m_topology = 0;
-    std::unordered_map<base::WorkspaceId, Growth> m_growths; ///< Kept for a day.
-    std::unordered_map<base::WorkspaceId, base::TimePoint> m_removed; ///< When they were taken away. Kept for a day.
-    std::optional<base::TimePoint> m_nextGrowth; ///< When terms change next.
+    std::unordered_map<base::WorkspaceId, Growth> m_growths; ///< Share growths of the last day.
+    /// Times at which workspaces were removed in the last day.
+    std::unordered_map<base::WorkspaceId, base::TimePoint> m_removed;
+    std::optional<base::TimePoint> m_nextGrowth; ///< Time at which the terms of a share change next.
     std::map<base::VmId, base::TimePoint> m_suspectedUntil;
 };
 
--- a/src/limits/decayingrate.h
+++ b/src/limits/decayingrate.h
@@ -6,7 +6,7 @@
 
 namespace papayastep::limits {
 
-/// Events per second, with old ones forgotten exponentially.
+/// Rate of events per second with exponential decay.
 class DecayingRate
 {
 public:
--- a/src/limits/decodeinto.h
+++ b/src/limits/decodeinto.h
@@ -4,8 +4,8 @@
 
 namespace papayastep::limits {
 
-/// Whether `payload` is a `Message`, which is then in `message`. A malformed one of a peer is counted by whoever asks,
-/// and is no reason to stop.
+/// Decodes `payload` into `message`. Returns false if it is malformed: the caller counts malformed messages of peers
+/// and continues.
 template<typename Message>
 bool decodeInto(Message &message, std::string_view payload)
 {
--- a/src/limits/faultplan.cpp
+++ b/src/limits/faultplan.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr int hotNodes = 3;
-constexpr double hotStream = 0.7; ///< Of the rate, at the hot nodes together.
-constexpr double waveSize = 1.5; ///< Of the burst, at once.
+constexpr int steadyNodes = 3;
+constexpr double steadyFraction = 0.7; ///< Fraction of the rate that the nodes with a steady stream receive together.
+constexpr double waveSize = 1.5; ///< Requests of a wave, in bursts.
 constexpr base::Duration waveLength = std::chrono::milliseconds(40);
 constexpr base::Duration waveInterval = std::chrono::milliseconds(2500);
 
@@ -76,7 +76,7 @@
         Fault fault;
         fault.kind = static_cast<FaultKind>(below(static_cast<int>(FaultKind::Reconfigure)));
         fault.at = from + milliseconds(below(length));
-        // Half of them short: a restart or pause within the life of a grant is the hardest.
+        // Half of the faults are short, because a restart or pause within the lifetime of a grant is the hardest case.
         fault.duration = milliseconds(50 + (below(2) == 0 ? below(700) : below(9000)));
         fault.node = below(nodes);
         fault.other = below(nodes);
@@ -109,8 +109,8 @@
                 SimTime to)
 {
     WaveMaker maker(bus, workspace, terms, nodes, seed);
-    for (int hot = 0; hot < hotNodes; ++hot) {
-        maker.stream(maker.anyNode(), hotStream * terms.rate / hotNodes, from, to);
+    for (int index = 0; index < steadyNodes; ++index) {
+        maker.stream(maker.anyNode(), steadyFraction * terms.rate / steadyNodes, from, to);
     }
     const auto interval = [&maker] { return std::chrono::duration_cast<SimTime>(2 * maker.uniform() * waveInterval); };
     for (SimTime time = from + interval(); time < to; time += interval()) {
--- a/src/limits/faultplan.h
+++ b/src/limits/faultplan.h
@@ -4,18 +4,19 @@
 
 #include <vector>
 
-/// For tests and the measure program only: faults and requests that together look for a way round the cap.
+/// Random faults and requests that together try to exceed the cap, for tests and the measure program only.
 namespace papayastep::limits {
 
-/// Random faults of all kinds but changes of configuration, which the baselines don't know, between `from` and `to`.
+/// Returns random faults between `from` and `to`, of all kinds except changes of configuration, which the baselines do
+/// not support.
 std::vector<Fault> randomFaults(int nodes, std::uint64_t seed, int count, SimTime from, SimTime to);
 
-/// Workspaces whose bursts fill within seconds, so that tokens granted twice show up as excess.
+/// Returns workspaces whose bursts fill within seconds, so that tokens that are granted twice appear as excess.
 std::vector<config::Workspace> quickWorkspaces();
 
-/// Requests of one workspace: a few hot nodes see a steady stream, which makes them keep tokens in stock; in between
-/// all nodes are idle, so that the shares fill; and now and then, and whenever a fault begins or ends, all nodes see
-/// many times the burst at once.
+/// Schedules requests of one workspace. A few nodes receive a steady stream, which makes them keep tokens in stock. All
+/// other nodes are idle in between, so that the shares fill. From time to time, and with a probability of one half when
+/// a fault starts or ends, all nodes together receive more than the burst at once.
 void offerWaves(FleetBus &bus,
                 std::size_t workspace,
                 const config::Workspace &terms,
--- a/src/limits/fleetbus.cpp
+++ b/src/limits/fleetbus.cpp
@@ -17,7 +17,7 @@
 constexpr double changedRate = 0.4;
 constexpr double changedBurst = 1.5;
 
-/// The clock of one VM: runs fast or slow, and stands still while the VM is suspended.
+/// Clock of one VM. It is fast or slow by the drift, and its steady time stops while the VM is suspended.
 class NodeClock final : public base::Clock
 {
 public:
@@ -38,7 +38,7 @@
     {
         m_stopped += time;
     }
-    /// When, in true time, this clock will show `time`.
+    /// Returns the simulated time at which this clock will show `time`.
     SimTime trueTime(base::TimePoint time) const
     {
         const auto sinceStart = static_cast<double>((time - base::TimePoint(std::chrono::hours(1))).count());
@@ -241,7 +241,7 @@
     m_events.push(Event{std::max(time, m_now), ++m_sequence, std::move(action)});
 }
 
-/// Runs `action` when the node runs: later if it is frozen, never if it is down then.
+/// Runs `action` at `time` if the node is running; later if the node is frozen, never if it is down at that time.
 void FleetBus::atNode(SimTime time, int node, std::function<void()> action)
 {
     at(time, [this, node, action = std::move(action)] {
@@ -294,7 +294,7 @@
         m_reconfigured = true;
         publishConfiguration(true);
     }
-    // A frozen node stays frozen in the very moment that the fault ends.
+    // Keeps a frozen node frozen until the fault has ended.
     at(m_now + fault.duration, [this, fault] { endFault(fault); });
 }
 
@@ -318,7 +318,7 @@
     }
 }
 
-/// Sends what the broker has to send, hears its decisions, and sets its timer.
+/// Sends the messages of the broker, records its decisions, and sets its timer.
 void FleetBus::afterUse(int index)
 {
     Node &node = *m_nodes[static_cast<std::size_t>(index)];
@@ -359,8 +359,8 @@
     if (!connected(from, to)) {
         return;
     }
-    const bool near = sender.zone == (*receiver)->zone;
-    const base::Duration latency = near ? m_shape.latencyInZone : m_shape.latencyBetweenZones;
+    const bool inSameZone = sender.zone == (*receiver)->zone;
+    const base::Duration latency = inSameZone ? m_shape.latencyInZone : m_shape.latencyBetweenZones;
     const auto jittered = std::chrono::duration_cast<base::Duration>(latency * (1 + uniform()));
     const bool lossy = std::any_of(
         m_active.begin(), m_active.end(), [](const Fault &fault) { return fault.kind == FaultKind::Lossy; });
--- a/src/limits/fleetbus.h
+++ b/src/limits/fleetbus.h
@@ -13,27 +13,30 @@
 #include <string>
 #include <vector>
 
-/// For tests and the measure program only: several token brokers on manual clocks, joined by a bus in memory that
-/// loses, repeats and delays messages, with a platform that lists VMs. All randomness comes from one seed.
+/// Simulation of a fleet, for tests and the measure program only: several token brokers on manual clocks, connected by
+/// an in-memory bus that loses, duplicates and delays messages, with a platform that lists VMs. All randomness comes
+/// from one seed.
 namespace papayastep::limits {
 
-/// Time since the start of the run, as an outside observer with a perfect clock has it.
+/// Time since the start of the run on a perfect clock outside the fleet.
 using SimTime = base::Duration;
 
+/// Kinds of injected faults.
 enum class FaultKind {
-    Restart, ///< The node is killed and starts anew after the duration, knowing nothing.
-    Pause, ///< Its process does not run; the clock goes on.
-    Suspend, ///< Its VM does not run; the steady clock stands still.
+    Restart, ///< The node is killed and starts again after the duration, without its state.
+    Pause, ///< The process does not run; its clock continues.
+    Suspend, ///< The VM does not run; its steady clock stops.
     OneWayBreak, ///< Messages from `node` to `other` are lost.
     Mute, ///< Messages from `node` to all others are lost.
-    Split, ///< Nodes with a number below `other` can't talk to the rest.
-    PlatformAway, ///< Nodes with a number below `other` can't read the VM list.
-    ListDrop, ///< The VM list names `node` no more, though it lives.
-    Lossy, ///< Three in ten messages are lost, others are repeated or come late.
-    Reconfigure, ///< Rates and bursts change and change back.
+    Split, ///< Nodes with a number below `other` cannot communicate with the rest.
+    PlatformAway, ///< Nodes with a number below `other` cannot read the VM list.
+    ListDrop, ///< The VM list does not contain `node`, although it is running.
+    Lossy, ///< Three in ten messages are lost; others are duplicated or delayed.
+    Reconfigure, ///< Rates and bursts change and are restored after the duration.
 };
 constexpr int faultKinds = 10;
 
+/// One injected fault.
 struct Fault
 {
     FaultKind kind = FaultKind::Restart;
@@ -45,22 +48,23 @@
     auto operator<=>(const Fault &) const = default;
 };
 
+/// Size and network of a simulated fleet.
 struct FleetShape
 {
     int nodes = 14;
     int zones = 4;
     base::Duration latencyInZone = std::chrono::microseconds(250);
     base::Duration latencyBetweenZones = std::chrono::microseconds(750); ///< One way.
-    double drift = 0; ///< Clocks run between slower and faster by this fraction.
-    double giveBack = 0; ///< The fraction of admitted requests that turns out as not run.
+    double drift = 0; ///< Largest clock drift; each clock is slower or faster by up to this fraction.
+    double giveBack = 0; ///< Fraction of the admitted requests that are not run and whose tokens are returned.
 };
 
-/// Caribrite's counter service: 14 VMs in 4 zones.
+/// The fleet of Caribrite's counter service: 14 VMs in 4 zones.
 FleetShape caribrite();
-/// Tepla Noha's booking app: 23 VMs in 3 zones.
+/// The fleet of Tepla Noha's booking app: 23 VMs in 3 zones.
 FleetShape teplaNoha();
 
-/// What became of one request.
+/// One request and its decision.
 struct RequestRecord
 {
     std::size_t workspace = 0;
@@ -69,19 +73,21 @@
     SimTime decidedAt{};
     bool decided = false;
     bool admitted = false;
-    bool notRun = false; ///< Admitted, and then given back.
+    bool notRun = false; ///< The request was admitted, and its token returned later.
     base::Duration retryAfter{};
 };
 
+/// Traffic on the simulated bus.
 struct BusTraffic
 {
     std::uint64_t messages = 0;
-    std::uint64_t bytes = 0; ///< Payloads only.
+    std::uint64_t bytes = 0; ///< Bytes of the payloads only.
 };
 
-/// The greatest number of requests, over all windows, by which `times` (sorted) exceed rate x window + burst.
+/// Returns the largest number of requests, over all windows, by which `times` (sorted) exceed rate x window + burst.
 double maxExcess(const std::vector<SimTime> &times, double rate, double burst);
 
+/// Runs several token brokers in simulated time.
 class FleetBus
 {
 public:
@@ -92,16 +98,17 @@
     ~FleetBus();
 
     void schedule(const Fault &fault);
-    /// A request comes in at `node` at `at`.
+    /// Schedules a request that arrives at `node` at the time `at`.
     void offer(SimTime at, int node, std::size_t workspace);
-    /// A stream of requests of one workspace, `perSecond` on average, at random nodes. `regular`: evenly spaced.
+    /// Schedules requests of one workspace at random nodes, `perSecond` on average. They are evenly spaced if
+    /// `regular`, and otherwise a Poisson process.
     void offerStream(std::size_t workspace, double perSecond, SimTime from, SimTime to, bool regular);
     void run(SimTime until);
 
     const std::vector<RequestRecord> &requests() const;
-    /// When requests of `workspace` were admitted and not given back, in order.
+    /// Sorted times at which requests of `workspace` were admitted whose tokens were not returned.
     std::vector<SimTime> admissions(std::size_t workspace) const;
-    /// See limits::maxExcess(), with the greatest rate and burst that were in force.
+    /// Returns limits::maxExcess() with the largest rate and burst that were in force.
     double maxExcess(std::size_t workspace) const;
     const BusTraffic &traffic() const;
     TokenBroker &broker(int node);
--- a/src/limits/lotstore.cpp
+++ b/src/limits/lotstore.cpp
@@ -147,7 +147,7 @@
     return found != m_lots.end() ? &*found : nullptr;
 }
 
-/// What was granted on and never reported may have been spent: it counts so.
+/// Counts tokens of expired subleases as spent, because they may have been spent without a report.
 void LotStore::expireSubleases(base::TimePoint now)
 {
     while (const auto expired = m_subleases.takeExpired(now)) {
--- a/src/limits/lotstore.h
+++ b/src/limits/lotstore.h
@@ -9,24 +9,24 @@
 
 namespace papayastep::limits {
 
-/// Tokens that a holder elsewhere granted to this node.
+/// Tokens that a holder on another node granted to this node.
 struct Lot
 {
-    std::uint64_t id = 0; ///< Number within this broker.
+    std::uint64_t id = 0; ///< Number of the lot, unique within this broker.
     base::VmId holder;
     base::Incarnation holderIncarnation = 0;
     std::uint64_t grantId = 0;
     Tokens amount = 0;
     Tokens spent = 0;
-    Tokens unused = 0; ///< Returned.
-    Tokens lent = 0; ///< Granted on, and not known to be spent or returned.
+    Tokens unused = 0; ///< Tokens returned to the holder.
+    Tokens lent = 0; ///< Tokens granted to other nodes, and neither reported as spent nor returned.
     Tokens reportedSpent = 0;
-    std::uint64_t spends = 0; ///< Counted on even if one is undone.
-    std::uint64_t reportedSpends = 0; ///< Up to which of them the holder knows.
+    std::uint64_t spends = 0; ///< Number of spends, including those that were undone.
+    std::uint64_t reportedSpends = 0; ///< Number of the last spend that was reported to the holder.
     base::TimePoint usableUntil;
-    base::TimePoint returnAt; ///< What is left then goes back.
-    base::Duration reportWithin{}; ///< 0: spending need not be reported.
-    base::TimePoint reportBy = base::TimePoint::max(); ///< When a report is due.
+    base::TimePoint returnAt; ///< Time at which the remaining tokens are returned.
+    base::Duration reportWithin{}; ///< Time within which a spend is reported; 0 if no report is needed.
+    base::TimePoint reportBy = base::TimePoint::max(); ///< Time at which the next report is due.
 
     Tokens remaining() const
     {
@@ -34,7 +34,7 @@
     }
 };
 
-/// A grant that this node made out of a lot.
+/// A grant that this node made from a lot.
 struct Sublease
 {
     std::uint64_t lot = 0;
@@ -42,38 +42,38 @@
     base::TimePoint usableUntil;
 };
 
-/// All lots of one workspace.
+/// The lots of one workspace.
 class LotStore
 {
 public:
     void add(Lot lot);
 
-    /// Tokens that may be spent at `now`.
+    /// Sum of the tokens that may be spent at `now`.
     Tokens usable(base::TimePoint now) const;
 
-    /// Spends up to `amount`, from the lots that expire first. Appends what it took from to `parts`, and lowers
-    /// `usableUntil` to the first expiry among them. Returns how much it took.
+    /// Spends up to `amount`, from the lots that expire first. Appends the sources to `parts`, and lowers `usableUntil`
+    /// to the first expiry among them. Returns the amount spent.
     Tokens spend(Tokens amount, base::TimePoint now, std::vector<TokenPart> &parts, base::TimePoint &usableUntil);
 
-    /// Undoes a spend that was not yet reported to the holder. The place of a reported one may have been refilled; to
-    /// undo a later spend in its stead would make a token.
+    /// Undoes a spend that was not yet reported to the holder; returns false for others. The share may have refilled
+    /// since a reported spend, and undoing a later spend in its place would create a token.
     bool giveBack(const TokenPart &part, base::TimePoint now);
 
-    /// Takes up to `amount` out of one lot, to be granted on as grant `id`.
+    /// Takes up to `amount` from one lot, to be granted to another node as grant `id`.
     std::optional<Sublease> lend(std::uint64_t id, Tokens amount, base::TimePoint now);
-    /// A report on a grant made by lend(). False for an unknown one.
+    /// Applies a report on a grant made by lend(). Returns false for an unknown grant.
     bool report(std::uint64_t id, Tokens spent, Tokens unused, base::TimePoint now);
 
-    /// Removes what has expired, and returns the reports that are due, with the holder of each.
+    /// Removes expired lots, and returns the reports that are due with the holder of each.
     std::vector<std::pair<base::VmId, GrantUse>> takeDueReports(const base::WorkspaceId &workspace,
                                                                 base::TimePoint now);
-    /// Reports for `holder` that aren't due yet but can ride along with a message to it.
+    /// Returns the reports for `holder` that are not due yet, to be sent along with another message.
     std::vector<GrantUse> takeReportsFor(const base::WorkspaceId &workspace, const base::VmId &holder);
 
-    /// When settle() has something to do; TimePoint::max() if never.
+    /// Time at which takeDueReports() must be called; TimePoint::max() if there is none.
     base::TimePoint nextDue() const;
     bool empty() const;
-    /// The clock can't be trusted: all lots may have expired.
+    /// Removes all lots. Called if the clock is unreliable, since all lots may have expired.
     void clear();
 
 private:
--- a/src/limits/measure.cpp
+++ b/src/limits/measure.cpp
@@ -1,4 +1,5 @@
-// Measures the decision code of the package on manual clocks, next to two simpler schemes. Not shipped.
+// Measures the decision code of the package on manual clocks, in comparison with two simpler rate limiters. Not
+// shipped.
 #include "baselines.h"
 #include "faultplan.h"
 #include "fleetbus.h"
@@ -24,7 +25,7 @@
 {
     std::string measure;
     std::string fleet;
-    std::string load; ///< Of crowding-manual.
+    std::string load; ///< Load pattern of the case crowding-manual.
     std::uint64_t seed = 1;
     int runs = 1;
 };
@@ -71,7 +72,7 @@
     std::uint64_t offered = 0;
 };
 
-/// One run under faults, with requests in waves and clocks that drift.
+/// One run with faults, waves of requests and clock drift.
 class LimitCapRun
 {
 public:
@@ -80,7 +81,7 @@
         , m_seed(seed)
         , m_workspaces(quickWorkspaces())
     {
-        // In a fleet of one zone every holder counts for the whole rate, so a second holder would show at once.
+        // In a fleet of one zone a holder has the whole rate, so a second holder would be visible at once.
         if (seed % 2 == 1) {
             m_shape.nodes = 5;
             m_shape.zones = 1;
@@ -108,8 +109,8 @@
             LimitCapResult &own = results["papayastep"];
             own.excess = std::max(own.excess, bus.maxExcess(index));
             own.admitted += bus.admissions(index).size();
-            note(results["equal-split"], equalSplit.replay(bus.requests(), faults, index), index);
-            note(results["one-owner"], oneOwner.replay(bus.requests(), faults, index), index);
+            addResult(results["equal-split"], equalSplit.replay(bus.requests(), faults, index), index);
+            addResult(results["one-owner"], oneOwner.replay(bus.requests(), faults, index), index);
         }
         for (auto &[variant, result] : results) {
             result.offered += bus.requests().size();
@@ -117,7 +118,7 @@
     }
 
 private:
-    void note(LimitCapResult &result, const std::vector<SimTime> &admitted, std::size_t workspace) const
+    void addResult(LimitCapResult &result, const std::vector<SimTime> &admitted, std::size_t workspace) const
     {
         const config::Workspace &terms = m_workspaces[workspace];
         result.excess = std::max(result.excess, maxExcess(admitted, terms.rate, terms.burst));
@@ -157,15 +158,16 @@
     double worstServed = 1;
     std::uint64_t wrongful = 0;
     std::uint64_t inRate = 0;
-    double floodServed = 1; ///< Of what the ideal bucket gives the workspace that floods.
+    double floodServed = 1; ///< Smallest ratio to the ideal bucket for the overloading workspace.
 };
 
-/// What became of each workspace, compared with one bucket for the whole fleet that sees every request at once.
-void judge(Fairness &fairness,
-           const std::vector<std::size_t> &offered,
-           const std::vector<std::size_t> &admitted,
-           const std::vector<std::size_t> &ideal,
-           std::size_t flooding)
+/// Compares the admitted requests of each workspace with one bucket for the whole fleet that receives every request
+/// without delay.
+void updateFairness(Fairness &fairness,
+                    const std::vector<std::size_t> &offered,
+                    const std::vector<std::size_t> &admitted,
+                    const std::vector<std::size_t> &ideal,
+                    std::size_t flooding)
 {
     for (std::size_t index = 0; index < offered.size(); ++index) {
         const auto ratio = [](std::size_t a, std::size_t b) {
@@ -181,8 +183,9 @@
     }
 }
 
-/// `even`: evenly spaced requests over all nodes. `random`: Poisson arrivals. `one-zone`: evenly spaced, all in one
-/// zone. `restart`: evenly spaced, and one node restarts.
+/// Schedules requests in the pattern of Options::load: `even` spaces them evenly over all nodes, `random` uses Poisson
+/// arrivals, `one-zone` spaces them evenly within one zone, and `restart` is like `even`; the caller schedules the
+/// restart of one node.
 void offerLoad(FleetBus &bus,
                const Options &options,
                const FleetShape &shape,
@@ -206,7 +209,7 @@
 
 void measureCrowding(const Options &options)
 {
-    // A few large ones, as the letters say, and the small rates and bursts that are hard to cut into shares.
+    // A few large workspaces, and small rates and bursts that are hard to divide into shares.
     const auto workspaces = workspacesOf({{100, 100}, {60, 30}, {20, 20}, {10, 5}, {5, 2}, {2, 3}, {0.5, 1}, {0.5, 5}});
     constexpr std::size_t flooding = 1;
     constexpr SimTime begin = 30s;
@@ -236,7 +239,7 @@
         std::vector<std::size_t> ideal(workspaces.size());
         std::vector<std::size_t> equalSplit(workspaces.size());
         std::vector<std::size_t> oneOwner(workspaces.size());
-        // A request to a node that is down reaches no code of this package.
+        // A request to a node that is down does not reach the code of this package.
         std::vector<RequestRecord> requests = bus.requests();
         std::erase_if(requests, [](const RequestRecord &request) { return !request.decided; });
         for (const RequestRecord &request : requests) {
@@ -254,9 +257,9 @@
                           << admitted[index] << " ideal " << ideal[index] << std::endl;
             }
         }
-        judge(results["papayastep"], offered, admitted, ideal, flooding);
-        judge(results["equal-split"], offered, equalSplit, ideal, flooding);
-        judge(results["one-owner"], offered, oneOwner, ideal, flooding);
+        updateFairness(results["papayastep"], offered, admitted, ideal, flooding);
+        updateFairness(results["equal-split"], offered, equalSplit, ideal, flooding);
+        updateFairness(results["one-owner"], offered, oneOwner, ideal, flooding);
     }
     for (const auto &[variant, result] : results) {
         const double wrongful = static_cast<double>(result.wrongful) / static_cast<double>(result.inRate);
@@ -280,21 +283,22 @@
     return resident * static_cast<std::size_t>(sysconf(_SC_PAGESIZE));
 }
 
-/// Slopes of one node of a zone of 14: first with all workspaces known and none used, then with some in use here.
+/// Measures the cost per workspace and request in one fleet (14 nodes by default): first with all workspaces configured
+/// and none in use, then with some in use.
 void measureLimitCost(const Options &options)
 {
     constexpr std::size_t all = 120'000;
     constexpr std::size_t busy = 2'000;
-    constexpr SimTime settle = 8s;
+    constexpr SimTime warmUp = 8s;
     constexpr SimTime length = 20s;
     const std::vector<config::Workspace> workspaces
         = workspacesOf(std::vector<std::pair<double, double>>(all, {5, 10}));
     FleetShape shape = shapeOf(options);
     {
         FleetBus bus(shape, workspaces, options.seed);
-        bus.run(settle);
+        bus.run(warmUp);
         const BusTraffic before = bus.traffic();
-        bus.run(settle + length);
+        bus.run(warmUp + length);
         const double nodeSeconds = std::chrono::duration<double>(length).count() * shape.nodes;
         const double idle = static_cast<double>(bus.traffic().bytes - before.bytes);
         print(options, "papayastep", "idle_workspaces", all, "workspaces");
@@ -302,15 +306,15 @@
     }
     for (const bool used : {false, true}) {
         FleetBus bus(shape, workspaces, options.seed);
-        bus.run(settle);
+        bus.run(warmUp);
         const std::size_t residentBefore = residentBytes();
         const BusTraffic before = bus.traffic();
         const auto started = std::chrono::steady_clock::now();
         for (std::size_t index = 0; used && index < busy; ++index) {
-            bus.offerStream(index, 2, settle, settle + length, false);
+            bus.offerStream(index, 2, warmUp, warmUp + length, false);
         }
-        bus.run(settle + length);
-        const std::chrono::duration<double, std::nano> spent = std::chrono::steady_clock::now() - started;
+        bus.run(warmUp + length);
+        const std::chrono::duration<double, std::nano> elapsed = std::chrono::steady_clock::now() - started;
         if (!used) {
             continue;
         }
@@ -331,7 +335,7 @@
         print(options, "papayastep", "messages_per_request", messages / requests, "messages");
         const auto bytes = static_cast<double>(bus.traffic().bytes - before.bytes);
         print(options, "papayastep", "payload_per_request", bytes / requests, "bytes");
-        print(options, "papayastep", "time_per_request_fleetwide", spent.count() / requests, "ns");
+        print(options, "papayastep", "time_per_request_fleetwide", elapsed.count() / requests, "ns");
     }
 }
 
--- a/src/limits/outbox.h
+++ b/src/limits/outbox.h
@@ -9,7 +9,7 @@
 
 namespace papayastep::limits {
 
-/// Gathers what goes to one VM between two calls of take() into one message of a kind.
+/// Collects outgoing items, and combines those of one kind for one VM into one message between two calls of take().
 class Outbox
 {
 public:
--- a/src/limits/pooledlimiter.cpp
+++ b/src/limits/pooledlimiter.cpp
@@ -13,33 +13,34 @@
 
 constexpr std::string_view logPrefix = "limits";
 
-/// The demand follows the requests of about this time.
-constexpr std::chrono::duration<double> demandMemory(1.0);
+/// Time constant of the moving average of the demand.
+constexpr std::chrono::duration<double> demandTimeConstant(1.0);
 
-/// Requests per second above which an entry asks in advance. Below, the tokens would mostly come back unused.
+/// Requests per second above which an entry asks for tokens in advance. Below, most of these tokens would stay unused.
 constexpr double demandForPrefetch = 5;
 
-/// Of the burst, with which a pool begins at a new home. More lets a flood through while the old home's tokens are
-/// still under way; less refuses callers who keep to their rate.
-constexpr double newPoolPart = 0.25;
+/// Fraction of the burst with which a pool starts at a new home or stand-in. A larger one admits too much in an
+/// overload while tokens of the previous home are still in use; a smaller one refuses callers that keep to their rate.
+constexpr double newPoolFraction = 0.25;
 
-/// Of the mean time between the requests of a busy workspace at one entry.
-constexpr double gapsRemembered = 2;
+/// Time for which an entry counts as an asker, in mean intervals between two requests at one entry if the workspace
+/// uses its whole rate.
+constexpr double askerRetentionGaps = 2;
 
-/// A VM that went off the list longer ago has no part in what flows now.
-constexpr base::Duration leftMemory = std::chrono::seconds(10);
+/// Time for which a VM that was removed from the list is kept. Longer ago, it no longer affects the current pools.
+constexpr base::Duration removedVmRetention = std::chrono::seconds(10);
 
-/// Nodes that a home asks for a sign of life at each review.
-constexpr std::size_t probesAtOnce = 20;
+/// Largest number of nodes that a home probes in one round.
+constexpr std::size_t maxProbesPerRound = 20;
 
-/// The part of a pool is worked out anew this often: it goes over all askers.
+/// Interval between updates of the rate fraction of a pool. An update iterates over all askers.
 constexpr base::Duration reviewInterval = std::chrono::milliseconds(100);
 
-/// Sums of admissions are written this often.
+/// Interval between log lines on the admissions of a workspace.
 constexpr base::Duration tallyInterval = std::chrono::seconds(1);
 
 constexpr base::Duration shortestRetryAfter = std::chrono::milliseconds(50);
-/// Callers who were told to come back later than this had better see what has changed.
+/// Callers that would wait longer than this should retry earlier, because conditions may have changed.
 constexpr base::Duration longestRetryAfter = std::chrono::seconds(2);
 
 double seconds(base::Duration duration)
@@ -104,7 +105,7 @@
 void PooledLimiter::recordRemovedVms(const std::vector<base::VmId> &vms)
 {
     const base::TimePoint now = m_clock.now();
-    std::erase_if(m_removedAt, [&](const auto &left) { return now - left.second > leftMemory; });
+    std::erase_if(m_removedAt, [&](const auto &left) { return now - left.second > removedVmRetention; });
     for (const base::VmId &vm : m_vms) {
         if (!std::binary_search(vms.begin(), vms.end(), vm)) {
             m_removedAt[vm] = now;
@@ -142,19 +143,19 @@
         ++tallyOf(workspace).refused;
         return Refused{base::ResultCode::RateExceeded, nextRetryAfter(*configured), m_self.vm};
     }
-    PendingAsk wish;
-    wish.workspace = workspace;
-    wish.requests.push_back(request);
+    PendingAsk pending;
+    pending.workspace = workspace;
+    pending.requests.push_back(request);
     const double ahead = entry.demand > demandForPrefetch ? entry.demand * seconds(m_settings.prefetch) : 0;
-    wish.wanted = 1 + static_cast<std::uint32_t>(ahead);
-    askNextHome(std::move(wish));
+    pending.wanted = 1 + static_cast<std::uint32_t>(ahead);
+    askNextHome(std::move(pending));
     return Waiting{};
 }
 
 void PooledLimiter::cancelWaiting(const base::RequestId &request)
 {
-    for (auto &[number, wish] : m_pendingAsks) {
-        std::erase(wish.requests, request);
+    for (auto &[number, pending] : m_pendingAsks) {
+        std::erase(pending.requests, request);
     }
 }
 
@@ -169,8 +170,8 @@
     Entry &kept = entry->second;
     const bool isStale = m_clock.now() >= kept.stockUntil;
     if (isStale || kept.stock < 1) {
-        // Only an empty stock begins a new lifetime. If each token that comes back prolonged that of all others, an
-        // overload would gather more and more of them.
+        // Only an empty stock starts a new lifetime. If each returned token prolonged the lifetime of all others, they
+        // would accumulate in an overload.
         kept.stock = 1;
         kept.stockUntil = m_clock.now() + m_settings.stockLifetime;
     } else if (kept.stock < m_settings.maxReturnedTokens) {
@@ -198,7 +199,7 @@
     }
 }
 
-/// A home that did not answer in time is suspected, and the next in the order is asked.
+/// Suspects the homes that did not answer in time, and asks the next home in the order for each of their asks.
 void PooledLimiter::tick()
 {
     const base::TimePoint now = m_clock.now();
@@ -210,9 +211,9 @@
             m_pendingAsks.erase(current);
         }
     }
-    for (PendingAsk &wish : overdue) {
-        suspectHome(wish.home);
-        askNextHome(std::move(wish));
+    for (PendingAsk &pending : overdue) {
+        suspectHome(pending.home);
+        askNextHome(std::move(pending));
     }
     std::erase_if(m_suspectedUntil, [now](const auto &suspect) { return suspect.second <= now; });
     logTallies();
@@ -221,8 +222,8 @@
 std::optional<base::TimePoint> PooledLimiter::nextTick() const
 {
     std::optional<base::TimePoint> next;
-    for (const auto &[number, wish] : m_pendingAsks) {
-        next = std::min(next.value_or(wish.timeoutAt), wish.timeoutAt);
+    for (const auto &[number, pending] : m_pendingAsks) {
+        next = std::min(next.value_or(pending.timeoutAt), pending.timeoutAt);
     }
     for (const auto &[workspace, tally] : m_tallies) {
         const base::TimePoint due = tally.since + tallyInterval;
@@ -231,7 +232,8 @@
     return next;
 }
 
-/// Still admits for its own callers, who may go on to send on open connections; it is no home any more.
+/// The node still admits requests of its own callers, which may continue to send on open connections, but no longer
+/// acts as a home.
 void PooledLimiter::drain()
 {
     m_draining = true;
@@ -307,8 +309,8 @@
     return configured != nullptr && configured->isLimited() ? configured : nullptr;
 }
 
-/// The first two in the order of their weights; more are never asked. Worked out once for each VM list, not for each
-/// request: it hashes the name of every VM.
+/// Returns the first `maxHomesTried` VMs in descending order of their weights; further ones are never asked. The result
+/// is cached for each VM list, because the calculation hashes the name of every VM.
 const std::vector<base::VmId> &PooledLimiter::homesOf(const base::WorkspaceId &workspace) const
 {
     const auto [place, isNew] = m_homes.try_emplace(workspace);
@@ -337,7 +339,7 @@
     return homes;
 }
 
-/// Empty: none that could be asked.
+/// Returns the first home that is not suspected, or an empty id.
 base::VmId PooledLimiter::reachableHome(const base::WorkspaceId &workspace) const
 {
     for (const base::VmId &home : homesOf(workspace)) {
@@ -354,8 +356,9 @@
     return suspect != m_suspectedUntil.end() && m_clock.now() < suspect->second;
 }
 
-/// An entry stands for an even part of the rate, and has it from one side only. A stand-in gives the parts of those who
-/// ask it; the home keeps back the parts of those that give no sign of life.
+/// Returns the fraction of the rate that `pool` gives. Each entry accounts for an equal part, which only one node
+/// gives: a stand-in gives the parts of the entries that ask it; the home withholds the parts of the nodes that do not
+/// answer probes.
 double PooledLimiter::currentRateFraction(const config::Workspace &workspace, const Pool &pool) const
 {
     const base::TimePoint now = m_clock.now();
@@ -377,7 +380,7 @@
     return probe != m_probes.end() && m_clock.now() - probe->second.firstSentAt >= m_settings.probeInterval;
 }
 
-/// Whether a node that comes before this one in the order of homes, or this one, went off the list after `since`.
+/// Whether this node or a node before it in the order of homes was removed from the VM list at or after `since`.
 bool PooledLimiter::higherRankedVmRemoved(const base::WorkspaceId &workspace, base::TimePoint since) const
 {
     const std::uint64_t own = base::rendezvousWeight(workspace.value(), m_self.vm.value());
@@ -386,7 +389,7 @@
     });
 }
 
-/// Whether the home was in touch with this node after `since`; what flowed into a stand-in's pool then is not its own.
+/// Whether the home was reachable from this node after `since`. The pool of a stand-in must not refill for that time.
 bool PooledLimiter::homeFellSilent(const base::WorkspaceId &workspace, base::TimePoint since) const
 {
     const std::vector<base::VmId> &homes = homesOf(workspace);
@@ -394,12 +397,13 @@
     return silent == m_silentSince.end() || silent->second > since;
 }
 
-/// A stand-in gives their parts to who asked it so lately. Where requests are rare, entries ask less often.
+/// Returns the time for which a stand-in counts an entry that has asked it. It is longer where requests are rare,
+/// because entries then ask less often.
 base::Duration PooledLimiter::askerRetention(const config::Workspace &workspace) const
 {
     const double gap = static_cast<double>(m_vms.size()) / workspace.rate;
     const double longest = seconds(m_settings.maxAskerRetention);
-    return std::max(durationOf(std::min(gapsRemembered * gap, longest)), m_settings.askerRetention);
+    return std::max(durationOf(std::min(askerRetentionGaps * gap, longest)), m_settings.askerRetention);
 }
 
 bool PooledLimiter::isFirstHome(const base::WorkspaceId &workspace) const
@@ -412,12 +416,12 @@
 {
     const base::TimePoint now = m_clock.now();
     const double passed = seconds(now - entry.demandUpdatedAt);
-    const double kept = std::exp(-passed / demandMemory.count());
-    entry.demand = entry.demand * kept + 1 / demandMemory.count();
+    const double kept = std::exp(-passed / demandTimeConstant.count());
+    entry.demand = entry.demand * kept + 1 / demandTimeConstant.count();
     entry.demandUpdatedAt = now;
 }
 
-/// The pool with what has flown into it up to now.
+/// Returns the pool of `workspace`, refilled up to now.
 PooledLimiter::Pool &PooledLimiter::poolOf(const config::Workspace &workspace)
 {
     const base::TimePoint now = m_clock.now();
@@ -440,13 +444,13 @@
     return pool;
 }
 
-/// This node begins to give for another: that may have given all of its pool out a moment ago. A pool that had filled
-/// up meanwhile, for nobody, would be given on top.
+/// Called when this node starts to give tokens in place of another node. That node may have just given out its whole
+/// pool, so a pool here that has filled up unused meanwhile would be given in addition.
 void PooledLimiter::startServing(const config::Workspace &workspace, Pool &pool)
 {
     pool.isHome = isFirstHome(workspace.id);
     pool.servingSince = m_clock.now();
-    pool.bucket.level = std::min(pool.bucket.level, workspace.burst * newPoolPart);
+    pool.bucket.level = std::min(pool.bucket.level, workspace.burst * newPoolFraction);
     pool.bucket.updatedAt = pool.isHome ? m_listChangedAt : m_clock.now();
 }
 
@@ -464,8 +468,8 @@
     }
 }
 
-/// An entry that has no requests says nothing either; only one that doesn't answer can be cut off. In a large fleet the
-/// questions go round, a few at a time.
+/// Probes nodes that have sent nothing recently. An entry without requests sends nothing either; only one that does not
+/// answer a probe is unreachable. In a large fleet the nodes are probed in turn, a few in each round.
 void PooledLimiter::probeSilentNodes()
 {
     const base::TimePoint now = m_clock.now();
@@ -474,7 +478,7 @@
     }
     m_lastProbeRoundAt = now;
     std::size_t asked = 0;
-    for (std::size_t step = 0; step < m_vms.size() && asked < probesAtOnce; ++step) {
+    for (std::size_t step = 0; step < m_vms.size() && asked < maxProbesPerRound; ++step) {
         m_lastProbedIndex = (m_lastProbedIndex + 1) % m_vms.size();
         const base::VmId &vm = m_vms[m_lastProbedIndex];
         const auto heard = m_lastReceivedAt.find(vm);
@@ -487,7 +491,7 @@
             continue;
         }
         if (now - place->second.lastSentAt > 2 * m_settings.probeInterval) {
-            place->second.firstSentAt = now; // After a pause in which none was asked, an old question proves nothing.
+            place->second.firstSentAt = now; // Probing was interrupted, so the old probe is no evidence.
         }
         place->second.lastSentAt = now;
         m_outgoingAsks.try_emplace(vm);
@@ -495,24 +499,24 @@
     }
 }
 
-/// An entry that finds the home silent asks with its next request; its part is due from when the spell began, or from
-/// when the pool ceased to count it.
+/// Adds the part of a new asker to the pool of a stand-in. An entry that cannot reach the home asks only with its next
+/// request; its part is due since this node started to serve, or since the pool stopped counting the entry.
 void PooledLimiter::creditNewAsker(const config::Workspace &workspace, Pool &pool, base::TimePoint since)
 {
-    const base::Duration late
+    const base::Duration uncountedTime
         = std::min<base::Duration>(m_clock.now() - std::max(since, pool.servingSince), m_settings.askerRetention);
     const double part = workspace.rate / static_cast<double>(std::max<std::size_t>(1, m_vms.size()));
-    pool.bucket.level = std::min(workspace.burst, pool.bucket.level + part * seconds(late));
+    pool.bucket.level = std::min(workspace.burst, pool.bucket.level + part * seconds(uncountedTime));
 }
 
-/// Charges what `from` got elsewhere to the home's pool. The totals only rise, so a lost or repeated message changes
-/// nothing.
+/// Records that `from` has asked, and charges its debt to the pool of the home. The reported totals only rise, so a
+/// lost or duplicated message has no effect.
 void PooledLimiter::recordAsker(const config::Workspace &workspace,
                                 const base::VmId &from,
                                 base::Incarnation incarnation,
-                                const PoolTokenAsk &wish)
+                                const PoolTokenAsk &tokenAsk)
 {
-    if (wish.relayed) {
+    if (tokenAsk.relayed) {
         return;
     }
     Pool &pool = poolOf(workspace);
@@ -527,12 +531,12 @@
         asker.incarnation = incarnation;
         asker.charged = 0;
     }
-    const std::uint64_t known = std::max(asker.charged, wish.settledElsewhere);
-    if (pool.isHome && wish.grantedElsewhere > known) {
+    const std::uint64_t known = std::max(asker.charged, tokenAsk.settledElsewhere);
+    if (pool.isHome && tokenAsk.grantedElsewhere > known) {
         const double lowest = std::min(pool.bucket.level, -workspace.burst * m_settings.maxDebtBursts);
-        const auto charge = static_cast<double>(wish.grantedElsewhere - known);
+        const auto charge = static_cast<double>(tokenAsk.grantedElsewhere - known);
         pool.bucket.level = std::max(lowest, pool.bucket.level - charge);
-        asker.charged = wish.grantedElsewhere;
+        asker.charged = tokenAsk.grantedElsewhere;
     }
 }
 
@@ -541,7 +545,7 @@
     currentDebt(workspace).total += tokens;
 }
 
-/// What is older than one or two times the memory is forgotten.
+/// Returns the debt of `workspace`. Debt older than one to two times the retention counts as settled.
 PooledLimiter::Debt &PooledLimiter::currentDebt(const base::WorkspaceId &workspace)
 {
     Debt &debt = m_entries[workspace].debt;
@@ -561,9 +565,9 @@
 {
     Pool &pool = poolOf(workspace);
     const auto whole = static_cast<std::uint32_t>(std::max(0.0, pool.bucket.level));
-    // In advance only out of a pool that is at least half full: others may have requests waiting.
-    const bool plenty = pool.bucket.level > workspace.burst / 2;
-    const std::uint32_t granted = std::min(whole, plenty ? std::max(urgent, wanted) : urgent);
+    // Gives tokens in advance only from a pool that is at least half full, because requests may wait at other entries.
+    const bool isHalfFull = pool.bucket.level > workspace.burst / 2;
+    const std::uint32_t granted = std::min(whole, isHalfFull ? std::max(urgent, wanted) : urgent);
     pool.bucket.level -= granted;
     tallyOf(workspace.id).granted += static_cast<int>(granted);
     m_counters.grantsMade += granted > 0 ? 1 : 0;
@@ -571,7 +575,8 @@
     return granted;
 }
 
-/// Those who are refused are told different times, one token apart, so that each finds one when it comes back.
+/// Returns the time until the next retry. Refused requests get different times, one token apart, so that each finds a
+/// token when it retries.
 base::Duration PooledLimiter::nextRetryAfter(const config::Workspace &workspace)
 {
     const base::TimePoint now = m_clock.now();
@@ -604,45 +609,46 @@
     return token;
 }
 
-/// Asks the next home that is not suspected, or decides alone where there is none.
-void PooledLimiter::askNextHome(PendingAsk wish)
+/// Asks the next home that is not suspected, or decides locally if there is none.
+void PooledLimiter::askNextHome(PendingAsk pending)
 {
-    const base::VmId home = reachableHome(wish.workspace);
-    const config::Workspace *configured = limitedWorkspace(wish.workspace);
-    if (configured == nullptr || home.empty() || wish.homesTried >= m_settings.maxHomesTried) {
-        decideLocally(wish);
+    const base::VmId home = reachableHome(pending.workspace);
+    const config::Workspace *configured = limitedWorkspace(pending.workspace);
+    if (configured == nullptr || home.empty() || pending.homesTried >= m_settings.maxHomesTried) {
+        decideLocally(pending);
         return;
     }
-    const auto urgent = wish.asker.empty() ? static_cast<std::uint32_t>(wish.requests.size()) : wish.askerUrgent;
+    const auto urgent
+        = pending.asker.empty() ? static_cast<std::uint32_t>(pending.requests.size()) : pending.askerUrgent;
     if (home == m_self.vm) {
-        if (wish.asker.empty()) {
+        if (pending.asker.empty()) {
             recordAsker(*configured, m_self.vm, m_self.incarnation, {});
         }
-        const std::uint32_t granted = m_draining ? 0 : takeFromPool(*configured, urgent, wish.wanted);
+        const std::uint32_t granted = m_draining ? 0 : takeFromPool(*configured, urgent, pending.wanted);
         const base::Duration retryAfter = granted < urgent ? nextRetryAfter(*configured) : base::Duration::zero();
-        completeAsk(wish, granted, retryAfter, isFirstHome(wish.workspace));
+        completeAsk(pending, granted, retryAfter, isFirstHome(pending.workspace));
         return;
     }
     const std::uint64_t number = ++m_lastAsk;
-    wish.home = home;
-    ++wish.homesTried;
-    // A stand-in asks the home itself before it answers, which takes a timeout of its own.
-    wish.timeoutAt = m_clock.now() + m_settings.askTimeout * wish.homesTried;
+    pending.home = home;
+    ++pending.homesTried;
+    // A stand-in asks the home itself before it answers, which may take another timeout.
+    pending.timeoutAt = m_clock.now() + m_settings.askTimeout * pending.homesTried;
     PoolTokenAsk message;
-    message.workspace = wish.workspace;
+    message.workspace = pending.workspace;
     message.askId = number;
     message.urgent = urgent;
-    message.wanted = wish.wanted;
-    message.relayed = !wish.asker.empty();
+    message.wanted = pending.wanted;
+    message.relayed = !pending.asker.empty();
     if (!message.relayed) {
-        const Debt &debt = currentDebt(wish.workspace);
+        const Debt &debt = currentDebt(pending.workspace);
         message.grantedElsewhere = debt.total;
         message.settledElsewhere = debt.settled;
-        wish.reportedDebt = debt.total;
+        pending.reportedDebt = debt.total;
     }
     m_outgoingAsks[home].asks.push_back(std::move(message));
     ++m_counters.asksSent;
-    m_pendingAsks.emplace(number, std::move(wish));
+    m_pendingAsks.emplace(number, std::move(pending));
 }
 
 void PooledLimiter::queueAnswer(const base::VmId &to, base::Incarnation incarnation, const PoolAnswer &answer)
@@ -652,101 +658,105 @@
     grant.answers.push_back(answer);
 }
 
-void PooledLimiter::decideLocally(const PendingAsk &wish)
+void PooledLimiter::decideLocally(const PendingAsk &pending)
 {
-    if (!wish.asker.empty()) {
-        queueAnswer(wish.asker, wish.askerIncarnation, PoolAnswer{wish.askerAskId, false, 0, 0, false});
+    if (!pending.asker.empty()) {
+        queueAnswer(pending.asker, pending.askerIncarnation, PoolAnswer{pending.askerAskId, false, 0, 0, false});
         return;
     }
-    const config::Workspace *configured = limitedWorkspace(wish.workspace);
-    for (const base::RequestId &request : wish.requests) {
+    const config::Workspace *configured = limitedWorkspace(pending.workspace);
+    for (const base::RequestId &request : pending.requests) {
         if (configured == nullptr) {
             m_decisions.push_back({request, Refused{base::ResultCode::KeyUnknown, {}}});
-        } else if (takeLocally(*configured, m_entries[wish.workspace])) {
+        } else if (takeLocally(*configured, m_entries[pending.workspace])) {
             ++m_counters.admitted;
             ++m_counters.admittedWaiting;
             ++m_counters.admittedLocally;
-            ++tallyOf(wish.workspace).alone;
-            addDebt(wish.workspace, 1);
-            m_decisions.push_back({request, Admitted{makeToken(wish.workspace)}});
+            ++tallyOf(pending.workspace).alone;
+            addDebt(pending.workspace, 1);
+            m_decisions.push_back({request, Admitted{makeToken(pending.workspace)}});
         } else {
             ++m_counters.refused;
             ++m_counters.refusedUnanswered;
-            ++tallyOf(wish.workspace).refused;
+            ++tallyOf(pending.workspace).refused;
             m_decisions.push_back(
                 {request, Refused{base::ResultCode::RateExceeded, m_settings.suspicionTime, {}, true}});
         }
     }
 }
 
-/// `ofHome`: the tokens come out of the home's pool, by whatever way.
-void PooledLimiter::completeAsk(const PendingAsk &wish, std::uint32_t granted, base::Duration retryAfter, bool ofHome)
+/// Hands out the granted tokens of an answered ask. `ofHome` is true if they come from the pool of the home, directly
+/// or through another node.
+void PooledLimiter::completeAsk(const PendingAsk &pending,
+                                std::uint32_t granted,
+                                base::Duration retryAfter,
+                                bool ofHome)
 {
-    if (!wish.asker.empty()) {
+    if (!pending.asker.empty()) {
         const auto milliseconds = std::chrono::ceil<std::chrono::milliseconds>(retryAfter).count();
-        queueAnswer(wish.asker,
-                    wish.askerIncarnation,
-                    PoolAnswer{wish.askerAskId, true, granted, static_cast<std::uint32_t>(milliseconds), !ofHome});
+        queueAnswer(pending.asker,
+                    pending.askerIncarnation,
+                    PoolAnswer{pending.askerAskId, true, granted, static_cast<std::uint32_t>(milliseconds), !ofHome});
         return;
     }
     if (!ofHome) {
-        addDebt(wish.workspace, granted);
-    } else if (const auto &homes = homesOf(wish.workspace); !homes.empty() && homes.front() == wish.home) {
-        Debt &debt = currentDebt(wish.workspace);
-        debt.settled = std::max(debt.settled, wish.reportedDebt);
+        addDebt(pending.workspace, granted);
+    } else if (const auto &homes = homesOf(pending.workspace); !homes.empty() && homes.front() == pending.home) {
+        Debt &debt = currentDebt(pending.workspace);
+        debt.settled = std::max(debt.settled, pending.reportedDebt);
     }
-    for (const base::RequestId &request : wish.requests) {
+    for (const base::RequestId &request : pending.requests) {
         if (granted > 0) {
             --granted;
             ++m_counters.admitted;
             ++m_counters.admittedWaiting;
-            countAdmitted(wish.workspace, wish.home);
-            m_decisions.push_back({request, Admitted{makeToken(wish.workspace)}});
+            countAdmitted(pending.workspace, pending.home);
+            m_decisions.push_back({request, Admitted{makeToken(pending.workspace)}});
         } else {
             ++m_counters.refused;
-            ++tallyOf(wish.workspace).refused;
-            const base::VmId &by = wish.home.empty() ? m_self.vm : wish.home;
+            ++tallyOf(pending.workspace).refused;
+            const base::VmId &by = pending.home.empty() ? m_self.vm : pending.home;
             m_decisions.push_back({request, Refused{base::ResultCode::RateExceeded, retryAfter, by}});
         }
     }
     if (granted > 0) {
-        Entry &entry = m_entries[wish.workspace];
+        Entry &entry = m_entries[pending.workspace];
         entry.stock = (m_clock.now() < entry.stockUntil ? entry.stock : 0) + granted;
         entry.stockUntil = m_clock.now() + m_settings.stockLifetime;
     }
 }
 
-/// An ask without wishes wants a sign of life.
-void PooledLimiter::receiveAsk(const base::VmId &from, base::Incarnation incarnation, const PoolAsk &ask)
+/// A message without asks is a probe and gets an empty answer.
+void PooledLimiter::receiveAsk(const base::VmId &from, base::Incarnation incarnation, const PoolAsk &message)
 {
-    if (ask.asks.empty()) {
+    if (message.asks.empty()) {
         m_outgoingGrants[{from, incarnation}].asker = incarnation;
     }
-    for (const PoolTokenAsk &wish : ask.asks) {
-        receiveTokenAsk(from, incarnation, wish);
+    for (const PoolTokenAsk &tokenAsk : message.asks) {
+        receiveTokenAsk(from, incarnation, tokenAsk);
     }
 }
 
-/// Answers out of the own pool, or passes the wish on to the home that this node can reach: who asked here may have a
-/// broken path to it, or an older VM list.
+/// Answers from the own pool, or forwards the ask to the home that this node can reach: the sender may have a broken
+/// path to it, or an older VM list.
 void PooledLimiter::receiveTokenAsk(const base::VmId &from, base::Incarnation incarnation, const PoolTokenAsk &message)
 {
-    PendingAsk wish;
-    wish.workspace = message.workspace;
-    wish.wanted = message.wanted;
-    wish.asker = from;
-    wish.askerIncarnation = incarnation;
-    wish.askerAskId = message.askId;
-    wish.askerUrgent = message.urgent;
-    const bool passOn = reachableHome(message.workspace) != m_self.vm;
-    if (limitedWorkspace(message.workspace) == nullptr || m_draining || (passOn && message.relayed)) {
+    PendingAsk pending;
+    pending.workspace = message.workspace;
+    pending.wanted = message.wanted;
+    pending.asker = from;
+    pending.askerIncarnation = incarnation;
+    pending.askerAskId = message.askId;
+    pending.askerUrgent = message.urgent;
+    const bool forward = reachableHome(message.workspace) != m_self.vm;
+    if (limitedWorkspace(message.workspace) == nullptr || m_draining || (forward && message.relayed)) {
         queueAnswer(from, incarnation, PoolAnswer{message.askId, false, 0, 0, false});
         return;
     }
-    if (!passOn) {
+    if (!forward) {
         recordAsker(*limitedWorkspace(message.workspace), from, incarnation, message);
     }
-    askNextHome(std::move(wish));
+    askNextHome(std::move(pending));
 }
 
 void PooledLimiter::receiveGrant(const base::VmId &from, const PoolGrant &grant)
@@ -758,16 +768,16 @@
     for (const PoolAnswer &answered : grant.answers) {
         const auto found = m_pendingAsks.find(answered.askId);
         if (found == m_pendingAsks.end()) {
-            ++m_counters.messagesIgnored; // Late: the wish was decided without it, and these tokens are lost.
+            ++m_counters.messagesIgnored; // Late: the ask was completed without this answer, and its tokens are lost.
             continue;
         }
-        PendingAsk wish = std::move(found->second);
+        PendingAsk pending = std::move(found->second);
         m_pendingAsks.erase(found);
         if (answered.decided) {
-            completeAsk(wish, answered.granted, std::chrono::milliseconds(answered.retryAfterMs), !answered.standIn);
+            completeAsk(pending, answered.granted, std::chrono::milliseconds(answered.retryAfterMs), !answered.standIn);
         } else {
             suspectHome(from);
-            askNextHome(std::move(wish));
+            askNextHome(std::move(pending));
         }
     }
 }
@@ -776,7 +786,7 @@
 {
     if (!isSuspect(home)) {
         PAPAYASTEP_LOG(WARNING, logPrefix)
-            << "Passing over a node that holds workspaces' rates." << base::field("vm", home)
+            << "Skipping a node that did not decide a request for tokens." << base::field("vm", home)
             << base::field("forMs",
                            std::chrono::duration_cast<std::chrono::milliseconds>(m_settings.suspicionTime).count());
     }
@@ -793,7 +803,7 @@
     return place->second;
 }
 
-/// `home`: whose answer admitted the request; this node itself where that is empty.
+/// Counts an admitted request. `home` is the VM that gave the token; empty for this node.
 void PooledLimiter::countAdmitted(const base::WorkspaceId &workspace, const base::VmId &home)
 {
     const std::vector<base::VmId> &homes = homesOf(workspace);
@@ -802,7 +812,7 @@
     ++(isHome ? tallyOf(workspace).home : tallyOf(workspace).standIn);
 }
 
-/// Says once a second who admitted by whose tokens, where it was not all by the home's.
+/// Logs once a second the sources of the tokens of each workspace, unless all came from the home.
 void PooledLimiter::logTallies()
 {
     const base::TimePoint now = m_clock.now();
@@ -824,10 +834,10 @@
 {
     const std::vector<base::VmId> &homes = homesOf(workspace);
     const auto pool = m_pools.find(workspace);
-    PAPAYASTEP_LOG(INFO, logPrefix) << "Admitted not only by the home's tokens." << base::field("workspace", workspace)
-                                    << base::field("stock", tally.stock) << base::field("home", tally.home)
-                                    << base::field("standIn", tally.standIn) << base::field("alone", tally.alone)
-                                    << base::field("refused", tally.refused)
+    PAPAYASTEP_LOG(INFO, logPrefix) << "Admitted requests with tokens that are not from the home."
+                                    << base::field("workspace", workspace) << base::field("stock", tally.stock)
+                                    << base::field("home", tally.home) << base::field("standIn", tally.standIn)
+                                    << base::field("alone", tally.alone) << base::field("refused", tally.refused)
                                     << base::field("givenBack", tally.givenBack)
                                     << base::field("granted", tally.granted) << base::field("vms", m_vms.size())
                                     << base::field("homeVm", homes.empty() ? base::VmId() : homes.front())
--- a/src/limits/pooledlimiter_test.cpp
+++ b/src/limits/pooledlimiter_test.cpp
@@ -18,14 +18,14 @@
 constexpr double rate = 34;
 constexpr double burst = 34;
 
-/// Some nodes on one clock, with 2 ms between them.
+/// Nodes on one clock, with a message latency of 2 ms between them.
 struct PooledFleet
 {
     static constexpr int nodes = 22;
     base::ManualClock clock;
     std::vector<std::unique_ptr<PooledLimiter>> limiters;
-    std::set<int> cut; ///< Nodes that nobody reaches.
-    std::set<int> splitOff; ///< Nodes that reach only each other.
+    std::set<int> unreachable; ///< Nodes that no other node can reach.
+    std::set<int> partitioned; ///< Nodes that can reach only each other.
     std::mt19937_64 random{11};
     std::uint64_t lastRequest = 0;
     std::uint64_t listVersion = 1;
@@ -33,8 +33,8 @@
     std::array<base::Incarnation, nodes> incarnations{};
     std::vector<base::TimePoint> admitted;
     int refused = 0;
-    double lateMessages = 0; ///< Share of messages whose packet is lost and sent again after 220 ms.
-    double givenBack = 0; ///< Share of admitted requests that no server has room for.
+    double lateFraction = 0; ///< Fraction of the messages whose packet is lost and retransmitted after 220 ms.
+    double returnedFraction = 0; ///< Fraction of the admitted requests for which no backend server has room.
     std::deque<std::pair<base::TimePoint, std::pair<int, Token>>> returns;
 
     struct Message
@@ -65,13 +65,13 @@
             start(i);
         }
     }
-    /// `count` nodes with the stand-in, without the home, reach only each other.
-    void splitTheFleet(int count)
+    /// Separates `count` nodes, with the stand-in and without the home, from the others.
+    void partitionFleet(int count)
     {
-        splitOff = {standIn()};
-        for (int i = 0; static_cast<int>(splitOff.size()) < count; ++i) {
+        partitioned = {standInNode()};
+        for (int i = 0; static_cast<int>(partitioned.size()) < count; ++i) {
             if (i != home()) {
-                splitOff.insert(i);
+                partitioned.insert(i);
             }
         }
     }
@@ -100,23 +100,23 @@
         parts.workspaces.push_back(workspace);
         return std::make_shared<const config::Configuration>(1, std::move(parts));
     }
-    /// All hear that `left` is off the list; -1: that all are on it.
-    void without(int left)
+    /// Applies a VM list without `removed` at all nodes; -1 lists all VMs.
+    void applyListWithout(int removed)
     {
         config::VmList shorter = list(++listVersion);
-        std::erase_if(shorter.vms, [left](const config::VmEntry &entry) { return entry.id == vm(left); });
+        std::erase_if(shorter.vms, [removed](const config::VmEntry &entry) { return entry.id == vm(removed); });
         for (auto &limiter : limiters) {
             limiter->applyVmList(shorter, clock.now());
         }
     }
-    bool happens(double probability)
+    bool occursWith(double probability)
     {
         return probability > 0 && std::bernoulli_distribution(probability)(random);
     }
     void count(int node, const Admission &admission)
     {
         const auto *token = std::get_if<Admitted>(&admission);
-        if (token != nullptr && happens(givenBack)) {
+        if (token != nullptr && occursWith(returnedFraction)) {
             returns.push_back({clock.now() + 30ms, {node, token->token}});
         } else if (token != nullptr) {
             admitted.push_back(clock.now());
@@ -124,7 +124,7 @@
             ++refused;
         }
     }
-    void pump()
+    void deliverDue()
     {
         for (int i = 0; i < nodes; ++i) {
             limiters[i]->tick();
@@ -132,8 +132,8 @@
                 count(i, decision.admission);
             }
             for (wire::Outgoing &message : limiters[i]->takeMessages()) {
-                const base::Duration way = happens(lateMessages) ? 222ms : 2ms;
-                messages.push_back({clock.now() + way, i, std::move(message)});
+                const base::Duration latency = occursWith(lateFraction) ? 222ms : 2ms;
+                messages.push_back({clock.now() + latency, i, std::move(message)});
             }
         }
         while (!returns.empty() && returns.front().first <= clock.now()) {
@@ -148,16 +148,16 @@
             const Message message = std::move(messages[next]);
             messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(next));
             const int to = std::stoi(message.content.to.value().substr(3));
-            const bool split = splitOff.contains(to) != splitOff.contains(message.from);
-            if (split || cut.contains(to) || cut.contains(message.from)) {
+            const bool split = partitioned.contains(to) != partitioned.contains(message.from);
+            if (split || unreachable.contains(to) || unreachable.contains(message.from)) {
                 continue;
             }
             limiters[to]->receive(
                 vm(message.from), incarnations[message.from], message.content.kind, message.content.payload);
         }
     }
-    /// Poisson arrivals, each at a random node.
-    void play(base::Duration length, double requestsPerSecond)
+    /// Runs the fleet for `length` with Poisson arrivals, each at a random node.
+    void run(base::Duration length, double requestsPerSecond)
     {
         const base::TimePoint end = clock.now() + length;
         std::bernoulli_distribution arrives(requestsPerSecond / 1000);
@@ -167,19 +167,19 @@
                 const int node = static_cast<int>(random() % nodes);
                 count(node, limiters[node]->acquire(depots, base::RequestId{1, ++lastRequest}, clock.now() + 2s));
             }
-            pump();
+            deliverDue();
         }
     }
-    int mostInFiveSeconds() const
+    int maxAdmittedInFiveSeconds() const
     {
-        std::size_t most = 0;
+        std::size_t maximum = 0;
         for (std::size_t first = 0, last = 0; last < admitted.size(); ++last) {
             while (admitted[last] - admitted[first] > 5s) {
                 ++first;
             }
-            most = std::max(most, last - first + 1);
+            maximum = std::max(maximum, last - first + 1);
         }
-        return static_cast<int>(most);
+        return static_cast<int>(maximum);
     }
     std::vector<int> homes() const
     {
@@ -195,25 +195,26 @@
     {
         return homes()[0];
     }
-    int standIn() const
+    int standInNode() const
     {
         return homes()[1];
     }
 };
 
-/// What the operators tolerate in five seconds.
-constexpr double tolerated = (rate * 5 + burst) * 1.25 + 20;
+/// Largest number of admitted requests in five seconds that the operators tolerate.
+constexpr double maxTolerated = (rate * 5 + burst) * 1.25 + 20;
 
 }
 
-BOOST_FIXTURE_TEST_CASE(pool_belowTheRate_refusesNobody, PooledFleet)
+BOOST_FIXTURE_TEST_CASE(pool_belowTheRate_refusesNothing, PooledFleet)
 {
-    play(30s, rate / 1.6);
+    run(30s, rate / 1.6);
     BOOST_TEST(refused == 0);
 }
 
-// A node that is cut off admits alone. Operators see that only in its counters: to callers it looks like any other.
-BOOST_FIXTURE_TEST_CASE(counters_ofANodeThatIsCutOff_tellWhatItAdmittedAlone, PooledFleet)
+// A partitioned node admits locally. Operators can see that only in its counters, because callers get the same answers
+// as from any other node.
+BOOST_FIXTURE_TEST_CASE(counters_ofAPartitionedNode_countLocalAdmissions, PooledFleet)
 {
     const auto sum = [this](auto member) {
         std::uint64_t total = 0;
@@ -222,20 +223,20 @@
         }
         return total;
     };
-    play(10s, rate / 1.6);
+    run(10s, rate / 1.6);
     BOOST_TEST(sum(&LimiterCounters::admittedLocally) == 0U);
     BOOST_TEST(sum(&LimiterCounters::admitted) == admitted.size());
     BOOST_TEST(sum(&LimiterCounters::tokensGranted) >= admitted.size());
 
-    const int away = home() == 0 ? 1 : 0;
-    cut.insert(away);
-    play(10s, rate / 1.6);
-    BOOST_TEST(limiters[static_cast<std::size_t>(away)]->counters().admittedLocally > 0U);
+    const int partitionedNode = home() == 0 ? 1 : 0;
+    unreachable.insert(partitionedNode);
+    run(10s, rate / 1.6);
+    BOOST_TEST(limiters[static_cast<std::size_t>(partitionedNode)]->counters().admittedLocally > 0U);
 }
 
-// A request is refused though its workspace was inside its rate. The users' engineer must see whether the workspace's
-// home said so or was not heard.
-BOOST_FIXTURE_TEST_CASE(refusal_atTheHomeAndAtANodeThatIsCutOff_tellsWhoDecided, PooledFleet)
+// A request is refused although its workspace keeps to its rate. Engineers must be able to see whether the home of the
+// workspace refused it or did not answer.
+BOOST_FIXTURE_TEST_CASE(refusal_atTheHomeAndAtAPartitionedNode_namesWhoDecided, PooledFleet)
 {
     const auto refusalAt = [this](int node) {
         PooledLimiter &limiter = *limiters[static_cast<std::size_t>(node)];
@@ -265,229 +266,232 @@
     BOOST_TEST(alone.unanswered);
 }
 
-// One workspace sends five times its rate, spread over all entries. The others would be crowded out if each entry only
-// knew what it sees itself.
-BOOST_FIXTURE_TEST_CASE(pool_farOverTheRate_staysWithinWhatIsTolerated, PooledFleet)
+// One workspace sends five times its rate, distributed over all entries. If each entry limited only the requests that
+// it receives itself, the workspace would take the capacity of the others.
+BOOST_FIXTURE_TEST_CASE(pool_farAboveTheRate_staysWithinTolerance, PooledFleet)
 {
-    play(20s, rate * 5);
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
-    BOOST_TEST(mostInFiveSeconds() >= rate * 5);
+    run(20s, rate * 5);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
+    BOOST_TEST(maxAdmittedInFiveSeconds() >= rate * 5);
 }
 
-// The home of the pool loses power under such a flood. Two homes would give the rate twice, and none would refuse
-// everybody.
-BOOST_FIXTURE_TEST_CASE(pool_whoseHomeDiesInAFlood_staysWithinWhatIsTolerated, PooledFleet)
+// The home of the pool loses power in such an overload. With two homes the workspace would get its rate twice; with
+// none, all its requests would be refused.
+BOOST_FIXTURE_TEST_CASE(pool_whoseHomeFailsInAnOverload_staysWithinTolerance, PooledFleet)
 {
-    play(8s, rate * 5);
-    cut.insert(home());
-    play(12s, rate * 5);
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
+    run(8s, rate * 5);
+    unreachable.insert(home());
+    run(12s, rate * 5);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
 }
 
-BOOST_FIXTURE_TEST_CASE(pool_whoseHomeDiesBelowTheRate_refusesHardlyAnybody, PooledFleet)
+BOOST_FIXTURE_TEST_CASE(pool_whoseHomeFailsBelowTheRate_refusesFew, PooledFleet)
 {
-    play(5s, rate / 1.6);
-    cut.insert(home());
-    play(20s, rate / 1.6);
-    // The cut node still takes its part of the requests, and decides alone.
+    run(5s, rate / 1.6);
+    unreachable.insert(home());
+    run(20s, rate / 1.6);
+    // The partitioned node still receives its part of the requests, and decides locally.
     BOOST_TEST(refused <= 25);
 }
 
-// A third of the nodes reach nobody. What they admit alone comes on top of what the pool gives.
-BOOST_FIXTURE_TEST_CASE(pool_withAThirdCutOffInAFlood_staysWithinWhatIsTolerated, PooledFleet)
+// A third of the nodes reach no other node. The requests that they admit locally come in addition to those that the
+// pool admits.
+BOOST_FIXTURE_TEST_CASE(pool_withAThirdPartitionedInAnOverload_staysWithinTolerance, PooledFleet)
 {
-    play(8s, rate * 5);
-    for (int i = 0; static_cast<int>(cut.size()) < nodes / 3; ++i) {
+    run(8s, rate * 5);
+    for (int i = 0; static_cast<int>(unreachable.size()) < nodes / 3; ++i) {
         if (i != home()) {
-            cut.insert(i);
+            unreachable.insert(i);
         }
     }
-    play(12s, rate * 5);
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
+    run(12s, rate * 5);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
 }
 
-// Links lose packets, so three messages in ten come a fifth of a second late, and homes seem to be silent though they
-// live. If every stand-in then gave the whole rate beside them, one workspace's flood would crowd the others out.
-BOOST_FIXTURE_TEST_CASE(pool_overLossyLinksInAFlood_staysWithinWhatIsTolerated, PooledFleet)
+// Links lose packets, so three messages in ten are a fifth of a second late, and homes that are running seem not to
+// answer. If every stand-in gave the whole rate in addition to the home, an overloading workspace would take the
+// capacity of the others.
+BOOST_FIXTURE_TEST_CASE(pool_overLossyLinksInAnOverload_staysWithinTolerance, PooledFleet)
 {
-    lateMessages = 0.3;
-    play(20s, rate * 8);
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
-    BOOST_TEST(mostInFiveSeconds() >= rate * 5);
+    lateFraction = 0.3;
+    run(20s, rate * 8);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
+    BOOST_TEST(maxAdmittedInFiveSeconds() >= rate * 5);
 }
 
-// In an overload most admitted requests find no server, and their tokens come back. Tokens that gather at the entries
-// until room is found would all be spent at once.
-BOOST_FIXTURE_TEST_CASE(tokens_givenBackInAnOverload_doNotGather, PooledFleet)
+// In an overload most admitted requests find no backend server, and their tokens are returned. Tokens that accumulate
+// at the entries until room is found would all be spent at once.
+BOOST_FIXTURE_TEST_CASE(tokens_returnedInAnOverload_doNotAccumulate, PooledFleet)
 {
-    givenBack = 0.9;
-    play(10s, rate * 8);
-    givenBack = 0;
-    play(6s, rate * 8);
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
+    returnedFraction = 0.9;
+    run(10s, rate * 8);
+    returnedFraction = 0;
+    run(6s, rate * 8);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
 }
 
-BOOST_FIXTURE_TEST_CASE(pool_afterTheRateWasLowered_givesTheLowerOne, PooledFleet)
+BOOST_FIXTURE_TEST_CASE(pool_afterTheRateWasLowered_givesTheLowerRate, PooledFleet)
 {
-    play(5s, rate);
+    run(5s, rate);
     for (auto &limiter : limiters) {
         limiter->applyConfiguration(configuration(rate / 4));
     }
-    play(10s, rate);
+    run(10s, rate);
     admitted.clear();
-    play(10s, rate);
-    BOOST_TEST(mostInFiveSeconds() <= (rate / 4 * 5 + burst) * 1.25 + 20);
+    run(10s, rate);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= (rate / 4 * 5 + burst) * 1.25 + 20);
 }
 
-// The home is silent for half a second again and again: its machine is slow, or packets are lost. While it is silent
-// the stand-in gives the rate and the entries their parts; the home's pool fills meanwhile, and is given as well when
-// it is back. One workspace's flood would get up to twice its rate, at the cost of all others.
-BOOST_FIXTURE_TEST_CASE(pool_whoseHomeIsSilentAgainAndAgain_staysWithinWhatIsTolerated, PooledFleet)
+// The home repeatedly does not answer for half a second, because its machine is slow or packets are lost. Meanwhile the
+// stand-in gives the rate and the entries their parts, and the pool of the home fills. If that pool were given in
+// addition afterwards, an overloading workspace would get up to twice its rate at the cost of all others.
+BOOST_FIXTURE_TEST_CASE(pool_whoseHomeRepeatedlyDoesNotAnswer_staysWithinTolerance, PooledFleet)
 {
-    play(4s, rate * 8);
-    for (int spell = 0; spell < 8; ++spell) {
-        cut.insert(home());
-        play(600ms, rate * 8);
-        cut.clear();
-        play(600ms, rate * 8);
+    run(4s, rate * 8);
+    for (int round = 0; round < 8; ++round) {
+        unreachable.insert(home());
+        run(600ms, rate * 8);
+        unreachable.clear();
+        run(600ms, rate * 8);
     }
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
-    BOOST_TEST(mostInFiveSeconds() >= rate * 5);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
+    BOOST_TEST(maxAdmittedInFiveSeconds() >= rate * 5);
 }
 
-BOOST_FIXTURE_TEST_CASE(pool_whoseHomeIsSilentForSeconds_staysWithinWhatIsTolerated, PooledFleet)
+BOOST_FIXTURE_TEST_CASE(pool_whoseHomeDoesNotAnswerForSeconds_staysWithinTolerance, PooledFleet)
 {
-    play(4s, rate * 8);
-    for (int spell = 0; spell < 5; ++spell) {
-        cut.insert(home());
-        play(1500ms, rate * 8);
-        cut.clear();
-        play(1500ms, rate * 8);
+    run(4s, rate * 8);
+    for (int round = 0; round < 5; ++round) {
+        unreachable.insert(home());
+        run(1500ms, rate * 8);
+        unreachable.clear();
+        run(1500ms, rate * 8);
     }
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
 }
 
-// The home and its stand-in are both silent.
-BOOST_FIXTURE_TEST_CASE(pool_whoseHomesAreSilentAgainAndAgain_staysWithinWhatIsTolerated, PooledFleet)
+// The home and its stand-in both repeatedly do not answer, so entries admit locally.
+BOOST_FIXTURE_TEST_CASE(pool_whoseHomesRepeatedlyDoNotAnswer_staysWithinTolerance, PooledFleet)
 {
-    play(4s, rate * 8);
+    run(4s, rate * 8);
     const int first = home();
-    const int second = standIn();
-    for (int spell = 0; spell < 8; ++spell) {
-        cut = {first, second};
-        play(600ms, rate * 8);
-        cut.clear();
-        play(600ms, rate * 8);
+    const int second = standInNode();
+    for (int round = 0; round < 8; ++round) {
+        unreachable = {first, second};
+        run(600ms, rate * 8);
+        unreachable.clear();
+        run(600ms, rate * 8);
     }
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
 }
 
-// The fleet falls in two, with the home on one side and the stand-in on the other.
-BOOST_FIXTURE_TEST_CASE(pool_onBothSidesOfASplit_staysWithinWhatIsTolerated, PooledFleet)
+// A network partition separates the home from the stand-in. Both sides together must not exceed what is tolerated.
+BOOST_FIXTURE_TEST_CASE(pool_onBothSidesOfAPartition_staysWithinTolerance, PooledFleet)
 {
-    play(4s, rate * 8);
-    splitTheFleet(nodes * 2 / 5);
-    play(12s, rate * 8);
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
+    run(4s, rate * 8);
+    partitionFleet(nodes * 2 / 5);
+    run(12s, rate * 8);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
 }
 
-// Most messages come late, so that every node takes the homes for silent now and then, though all live.
-BOOST_FIXTURE_TEST_CASE(pool_overVeryLossyLinksInAFlood_staysWithinWhatIsTolerated, PooledFleet)
+// Most messages are late, so every node occasionally suspects the homes although all nodes are running.
+BOOST_FIXTURE_TEST_CASE(pool_overVeryLossyLinksInAnOverload_staysWithinTolerance, PooledFleet)
 {
-    lateMessages = 0.6;
-    play(20s, rate * 8);
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
+    lateFraction = 0.6;
+    run(20s, rate * 8);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
 }
 
-BOOST_FIXTURE_TEST_CASE(pool_onBothSidesOfASplitBelowTheRate_refusesHardlyAnybody, PooledFleet)
+BOOST_FIXTURE_TEST_CASE(pool_onBothSidesOfAPartitionBelowTheRate_refusesFew, PooledFleet)
 {
-    play(4s, rate / 1.6);
-    splitTheFleet(nodes * 2 / 5);
-    play(12s, rate / 1.6);
+    run(4s, rate / 1.6);
+    partitionFleet(nodes * 2 / 5);
+    run(12s, rate / 1.6);
     BOOST_TEST(refused <= 25);
 }
 
-// Entries of a rare workspace ask seldom. If the home took each that does not ask for cut off, it would keep the rate
-// back.
-BOOST_FIXTURE_TEST_CASE(pool_ofEntriesThatSeldomAsk_refusesNobody, PooledFleet)
+// Entries of a workspace with few requests seldom ask. If the home treated each node that does not ask as unreachable,
+// it would withhold the rate.
+BOOST_FIXTURE_TEST_CASE(pool_ofEntriesThatSeldomAsk_refusesNothing, PooledFleet)
 {
-    play(5s, rate / 1.6);
-    play(20s, 2);
-    play(20s, rate / 1.6);
+    run(5s, rate / 1.6);
+    run(20s, 2);
+    run(20s, rate / 1.6);
     BOOST_TEST(refused == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(pool_whoseHomeIsSilentForSecondsBelowTheRate_refusesHardlyAnybody, PooledFleet)
+BOOST_FIXTURE_TEST_CASE(pool_whoseHomeDoesNotAnswerForSecondsBelowTheRate_refusesFew, PooledFleet)
 {
-    play(4s, rate / 1.6);
-    for (int spell = 0; spell < 5; ++spell) {
-        cut.insert(home());
-        play(1500ms, rate / 1.6);
-        cut.clear();
-        play(1500ms, rate / 1.6);
+    run(4s, rate / 1.6);
+    for (int round = 0; round < 5; ++round) {
+        unreachable.insert(home());
+        run(1500ms, rate / 1.6);
+        unreachable.clear();
+        run(1500ms, rate / 1.6);
     }
     BOOST_TEST(refused <= 20);
 }
 
-// Nobody asks for some seconds, so nobody is heard of. The pool that a flood had emptied fills up all the same.
-BOOST_FIXTURE_TEST_CASE(pool_afterAPause_isFull, PooledFleet)
+// No node asks for some seconds, so the home receives nothing. A pool that an overload has emptied must fill up
+// nevertheless.
+BOOST_FIXTURE_TEST_CASE(pool_afterAnIdleTime_isFull, PooledFleet)
 {
-    play(3s, rate * 5);
-    play(8s, 0);
+    run(3s, rate * 5);
+    run(8s, 0);
     refused = 0;
-    play(500ms, 2 * burst);
+    run(500ms, 2 * burst);
     BOOST_TEST(refused == 0);
 }
 
-// The links lose packets, and callers keep to their rate.
+// The links lose packets while callers keep to their rate. Late answers must not cause many refusals.
 BOOST_FIXTURE_TEST_CASE(pool_overLossyLinksBelowTheRate_refusesFew, PooledFleet)
 {
-    lateMessages = 0.3;
-    play(20s, rate / 1.6);
+    lateFraction = 0.3;
+    run(20s, rate / 1.6);
     BOOST_TEST(refused <= 90);
 }
 
-// Another node becomes the home for some seconds and goes again. The pool of the old home, which filled up meanwhile
-// though the other gave the whole rate, would be given on top.
-BOOST_FIXTURE_TEST_CASE(pool_whoseHomeWasReplacedForAWhile_staysWithinWhatIsTolerated, PooledFleet)
+// Another node becomes the home for some seconds. The pool of the old home fills up meanwhile although the other home
+// gives the whole rate; it must not be given in addition afterwards.
+BOOST_FIXTURE_TEST_CASE(pool_whoseHomeWasReplacedForAWhile_staysWithinTolerance, PooledFleet)
 {
-    play(4s, rate * 8);
+    run(4s, rate * 8);
     const int first = home();
-    for (int spell = 0; spell < 4; ++spell) {
-        without(first);
-        play(1200ms, rate * 8);
-        without(-1);
-        play(1200ms, rate * 8);
+    for (int round = 0; round < 4; ++round) {
+        applyListWithout(first);
+        run(1200ms, rate * 8);
+        applyListWithout(-1);
+        run(1200ms, rate * 8);
     }
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
 }
 
-// All nodes are killed in a flood and start together. Each pool that began full would be given on top of what the old
-// ones gave.
-BOOST_FIXTURE_TEST_CASE(pool_whoseNodesAreKilledTogether_staysWithinWhatIsTolerated, PooledFleet)
+// All nodes are killed in an overload and start together. A pool that started full would be given in addition to what
+// the old one gave.
+BOOST_FIXTURE_TEST_CASE(pool_whoseNodesAreKilledTogether_staysWithinTolerance, PooledFleet)
 {
-    play(4s, rate * 8);
+    run(4s, rate * 8);
     startAll();
-    play(6s, rate * 8);
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
+    run(6s, rate * 8);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
 }
 
-// The home is killed and starts again while a third of the nodes don't reach it.
-BOOST_FIXTURE_TEST_CASE(pool_whoseHomeIsKilledDuringASplit_staysWithinWhatIsTolerated, PooledFleet)
+// The home is killed and starts again while a third of the nodes cannot reach it.
+BOOST_FIXTURE_TEST_CASE(pool_whoseHomeIsKilledDuringAPartition_staysWithinTolerance, PooledFleet)
 {
-    play(4s, rate * 8);
-    splitTheFleet(nodes / 3);
-    play(3s, rate * 8);
+    run(4s, rate * 8);
+    partitionFleet(nodes / 3);
+    run(3s, rate * 8);
     start(home());
-    play(6s, rate * 8);
-    splitOff.clear();
-    play(6s, rate * 8);
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
+    run(6s, rate * 8);
+    partitioned.clear();
+    run(6s, rate * 8);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
 }
-// A flood begins when the home has not yet heard of any node, and a part of them can't reach it.
-BOOST_FIXTURE_TEST_CASE(pool_onBothSidesOfASplitFromTheStart_staysWithinWhatIsTolerated, PooledFleet)
+// An overload starts when the home has not yet received a message from any node, and some nodes cannot reach it.
+BOOST_FIXTURE_TEST_CASE(pool_onBothSidesOfAPartitionFromTheStart_staysWithinTolerance, PooledFleet)
 {
-    splitTheFleet(nodes * 2 / 5);
-    play(12s, rate * 8);
-    BOOST_TEST(mostInFiveSeconds() <= tolerated);
+    partitionFleet(nodes * 2 / 5);
+    run(12s, rate * 8);
+    BOOST_TEST(maxAdmittedInFiveSeconds() <= maxTolerated);
 }
--- a/src/limits/runtimes.cpp
+++ b/src/limits/runtimes.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-constexpr std::size_t runMemory = 8; ///< A mean follows about this many runs.
-constexpr std::size_t mostRoutes = 64; ///< Of which run times are kept.
+constexpr std::size_t runsInMean = 8; ///< Number of recent runs that a mean follows.
+constexpr std::size_t maxRoutes = 64; ///< Largest number of routes for which run times are kept.
 
 }
 
-RunTimes::RunTimes(base::Duration firstGuess)
-    : m_initialEstimate(firstGuess)
+RunTimes::RunTimes(base::Duration initialEstimate)
+    : m_initialEstimate(initialEstimate)
 {
 }
 
 void RunTimes::record(const base::RouteId &route, base::Duration run)
 {
     m_all.record(run);
-    if (m_routes.size() >= mostRoutes && !m_routes.contains(route)) {
-        m_routes.clear(); // Routes in use are known again after a few runs.
+    if (m_routes.size() >= maxRoutes && !m_routes.contains(route)) {
+        m_routes.clear(); // The means of routes in use are restored after a few runs.
     }
     m_routes[route].record(run);
 }
@@ -36,7 +36,7 @@
     if (found == m_routes.end()) {
         return mean();
     }
-    // The mean over all routes counts as one run more.
+    // The mean over all routes counts as one additional run.
     const auto runs = static_cast<std::int64_t>(found->second.runs);
     return (found->second.value * runs + mean()) / (runs + 1);
 }
@@ -52,11 +52,12 @@
     return found != m_routes.end() ? found->second.runs : 0;
 }
 
-/// The first runs weigh alike: a guess that is far too short would else stay in the mean for a dozen of them.
+/// The first runs have equal weights. Otherwise an initial estimate that is far too short would affect the mean for
+/// about a dozen runs.
 void RunTimes::Mean::record(base::Duration run)
 {
     ++runs;
-    value += (run - value) / static_cast<std::int64_t>(std::min(runs, runMemory));
+    value += (run - value) / static_cast<std::int64_t>(std::min(runs, runsInMean));
 }
 
 }
--- a/src/limits/runtimes_test.cpp
+++ b/src/limits/runtimes_test.cpp
@@ -28,14 +28,14 @@
 
 BOOST_FIXTURE_TEST_SUITE(runTimesSuite, TwoRoutes)
 
-BOOST_AUTO_TEST_CASE(runTimes_beforeTheFirstRun_areTheGuess)
+BOOST_AUTO_TEST_CASE(runTimes_beforeTheFirstRun_areTheInitialEstimate)
 {
     BOOST_TEST((runTimes.mean() == 50ms));
     BOOST_TEST((runTimes.mean(history) == 50ms));
     BOOST_TEST(runTimes.runs() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(runTimes_ofRoutesThatDiffer_areToldApart)
+BOOST_AUTO_TEST_CASE(runTimes_ofDifferentRoutes_areSeparate)
 {
     note(history, 1300ms, 30);
     note(yard, 130ms, 30);
@@ -45,8 +45,8 @@
     BOOST_TEST(runTimes.runs() == 60U);
 }
 
-// Guards against one odd run deciding what is expected of a route.
-BOOST_AUTO_TEST_CASE(runTimes_ofARouteWithOneRun_leanOnTheMean)
+// Guards against one unusual run that alone determines the estimate of a route.
+BOOST_AUTO_TEST_CASE(runTimes_ofARouteWithOneRun_areWeightedTowardsTheMean)
 {
     note(history, 1000ms, 10);
     note(yard, 100ms, 1);
@@ -54,8 +54,8 @@
     BOOST_TEST((runTimes.mean(yard) < 600ms));
 }
 
-// Guards against memory that grows with each route that a configuration ever had.
-BOOST_AUTO_TEST_CASE(runTimes_ofManyRoutes_forgetOldOnes)
+// Guards against memory use that grows with each route that a configuration has ever contained.
+BOOST_AUTO_TEST_CASE(runTimes_ofManyRoutes_dropOldRoutes)
 {
     for (int i = 0; i < 1000; ++i) {
         note(base::RouteId("route-" + std::to_string(i)), 100ms, 1);
--- a/src/limits/sharemap.cpp
+++ b/src/limits/sharemap.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double tokensPerShare = 2; ///< At least, where there are several shares.
+constexpr double minTokensPerShare = 2; ///< Smallest burst of a share if a workspace has several.
 
 }
 
@@ -24,7 +24,7 @@
 
 std::size_t ShareMap::shareCount(const config::Workspace &workspace) const
 {
-    const double most = std::max(1.0, std::floor(std::min(workspace.burst, maxWholeTokens) / tokensPerShare));
+    const double most = std::max(1.0, std::floor(std::min(workspace.burst, maxWholeTokens) / minTokensPerShare));
     return std::min(m_zones.size(), static_cast<std::size_t>(most));
 }
 
--- a/src/limits/sharemap.h
+++ b/src/limits/sharemap.h
@@ -8,22 +8,23 @@
 
 namespace papayastep::limits {
 
-/// How a workspace's rate and burst are cut into shares, one per availability zone of the configured backend servers.
-/// A small burst is cut into fewer shares, so that each can hold two tokens: the smaller the shares, the more often one
-/// is full, and loses its refill, while another lacks a token. The same on every node with the same configuration.
+/// Division of a workspace's rate and burst into shares, one for each availability zone of the configured backend
+/// servers. A small burst is divided into fewer shares, so that each can hold two tokens: the smaller the shares, the
+/// more often one is full and loses its refill while another lacks a token. All nodes with the same configuration
+/// calculate the same division.
 class ShareMap
 {
 public:
     ShareMap() = default;
     explicit ShareMap(const config::Configuration &configuration);
 
-    /// Into how many shares `workspace` is cut.
+    /// Number of shares of `workspace`.
     std::size_t shareCount(const config::Workspace &workspace) const;
 
-    /// The zones that have a share of `workspace`, sorted.
+    /// Zones that have a share of `workspace`, sorted.
     std::vector<base::ZoneId> zonesOf(const config::Workspace &workspace) const;
 
-    /// The fraction of rate and burst of `zone`; 0 if it has no share.
+    /// Fraction of rate and burst that `zone` has; 0 if it has no share.
     double fraction(const config::Workspace &workspace, const base::ZoneId &zone) const;
 
     const std::vector<base::ZoneId> &zones() const;
@@ -32,11 +33,12 @@
     std::vector<base::ZoneId> m_zones;
 };
 
-/// Rate and burst of a fraction of `workspace`. The rate is lowered by `driftBound`: a holder whose clock runs fast
-/// would refill too much.
+/// Returns rate and burst of a fraction of `workspace`. The rate is lowered by `driftBound`, because a holder with a
+/// fast clock would otherwise refill too much.
 ShareTerms termsOf(const config::Workspace &workspace, double fraction, double driftBound);
 
-/// The VM of `zone` that holds the share of `workspace`; empty if the list has none there. VMs that leave hold nothing.
+/// Returns the VM of `zone` that holds the share of `workspace`; empty if the list has no VM there. VMs that are
+/// leaving hold nothing.
 base::VmId holderOf(const base::WorkspaceId &workspace, const base::ZoneId &zone, const config::VmList &list);
 
 }
--- a/src/limits/slotqueue.cpp
+++ b/src/limits/slotqueue.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr base::Duration shortestRetryAfter = std::chrono::milliseconds(1);
-constexpr int leastUrgent = 8; ///< Less urgent tiers share its weight, which is next to nothing already.
-constexpr int callTier = -1; ///< Before the most urgent priority.
+constexpr int leastUrgent = 8; ///< Less urgent tiers have the same weight, which is close to 0 already.
+constexpr int callTier = -1; ///< Tier of calls, before the most urgent priority.
 
 int tierOf(const QueueOffer &offer)
 {
@@ -42,7 +42,7 @@
     if (m_queued.contains(offer.attempt) || m_running.contains(offer.attempt)) {
         return refusal(base::ResultCode::HopReplayed, offer.workspace, tierOf(offer));
     }
-    // An attempt that would wait past its deadline is refused now: later its caller could do nothing any more.
+    // An attempt that would wait past its deadline is refused now, while its caller can still react.
     if (!canAnswerInTime(offer)) {
         return refusal(base::ResultCode::HopQueueTimeout, offer.workspace, tierOf(offer));
     }
@@ -88,14 +88,14 @@
     return evicted != m_evicted.end() ? CancelOutcome::NeverStarted : CancelOutcome::Unknown;
 }
 
-void SlotQueue::finished(const AttemptId &attempt, bool usual)
+void SlotQueue::finished(const AttemptId &attempt, bool recordRunTime)
 {
     const auto found = m_running.find(attempt);
     if (found == m_running.end()) {
         return;
     }
     m_lastFinishedAt = m_clock.now();
-    if (usual) {
+    if (recordRunTime) {
         m_runTimes.record(found->second.route, *m_lastFinishedAt - found->second.startedAt);
     }
     m_running.erase(found);
@@ -146,7 +146,7 @@
     const auto tier = m_tiers.find(priority);
     if (tier != m_tiers.end()) {
         for (const WorkspaceQueue &lane : tier->second.queues) {
-            // Each other workspace has one turn for each turn of this one.
+            // Each other workspace gets one turn for each turn of this one.
             ahead += lane.workspace == workspace ? 0 : std::min(lane.attempts.size(), own + 1);
         }
     }
@@ -190,13 +190,13 @@
     return OfferResult{false, code, wait};
 }
 
-/// After it a usual run would not end before the deadline.
+/// Returns the time after which a run of mean length would not end before the deadline.
 base::TimePoint SlotQueue::latestStart(const QueueOffer &offer) const
 {
     return offer.deadline - part(m_runTimes.mean(offer.route), m_settings.runTimeReserve);
 }
 
-/// Whether an answer can be expected soon enough for the caller.
+/// Whether an answer is expected soon enough for the caller.
 bool SlotQueue::canAnswerInTime(const QueueOffer &offer) const
 {
     const base::TimePoint now = m_clock.now();
@@ -223,9 +223,9 @@
     return start + run <= *offer.wantedBy + part(offer.deadline - *offer.wantedBy, m_settings.maxLateness);
 }
 
-/// Whether one more attempt fits. In a full queue the longest workspace queue of the least urgent tier gives up its
-/// newest attempt, if that tier is less urgent or that queue longer than the one of `workspace` would be: so no
-/// workspace can keep another one out.
+/// Returns whether one more attempt fits. In a full queue, the newest attempt in the longest workspace queue of the
+/// least urgent tier is evicted if that tier is less urgent, or that queue is longer than the one of `workspace` would
+/// be. So no workspace can block another one.
 bool SlotQueue::makeRoom(const base::WorkspaceId &workspace, int priority)
 {
     const std::size_t own = queueLength(workspace, priority);
@@ -290,7 +290,7 @@
         m_pass = tier.pass;
         tier.pass += 1 / weight(place->first);
         const Queued next = tier.queues.front().attempts.front();
-        // The workspace has had its turn and goes to the back, before it may vanish as empty.
+        // The workspace has had its turn and moves to the back, before its queue is removed if it becomes empty.
         tier.queues.splice(tier.queues.end(), tier.queues, tier.queues.begin());
         removeQueued(next.attempt);
         m_running.emplace(next.attempt, Running{m_clock.now(), next.route});
@@ -298,7 +298,7 @@
     }
 }
 
-/// The one that has had the least of its part. Of two alike the more urgent one.
+/// Returns the tier with the smallest pass value; of two equal ones the more urgent one.
 SlotQueue::Tiers::iterator SlotQueue::selectTier()
 {
     return std::min_element(
@@ -337,7 +337,7 @@
     if (busy < slots) {
         return {};
     }
-    // With no slot at all nothing can be told; one is the least that lets the sum be finite.
+    // Without any slot the wait is unknown; assuming one slot keeps the result finite.
     const auto turns = static_cast<std::int64_t>(busy - slots + 1);
     return m_runTimes.mean() * turns / static_cast<std::int64_t>(std::max<std::size_t>(1, slots));
 }
--- a/src/limits/slotqueue_test.cpp
+++ b/src/limits/slotqueue_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-const base::WorkspaceId floodingWorkspace("flooding");
+const base::WorkspaceId overloadingWorkspace("flooding");
 const base::WorkspaceId quietWorkspace("quiet");
 
 struct TwoSlots
@@ -44,7 +44,7 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(queue_withFreeSlots_startsAtOnceAndNoMore, TwoSlots)
+BOOST_FIXTURE_TEST_CASE(queue_withFreeSlots_startsOneAttemptPerSlot, TwoSlots)
 {
     for (std::uint64_t number = 1; number <= 3; ++number) {
         BOOST_TEST(offer(number, quietWorkspace).accepted);
@@ -59,11 +59,12 @@
     BOOST_TEST(startNow() == (std::vector<std::uint64_t>{3}), boost::test_tools::per_element());
 }
 
-// One workspace fills the queue. Another's clerk would wait behind all of it; in turns, she waits for one attempt.
-BOOST_FIXTURE_TEST_CASE(quietWorkspace_behindAFlood_isNextInTurn, TwoSlots)
+// One workspace fills the queue. In order of arrival, a request of another workspace would wait for all of it; with
+// turns it waits for one attempt.
+BOOST_FIXTURE_TEST_CASE(quietWorkspace_behindAnOverload_isNextInTurn, TwoSlots)
 {
     for (std::uint64_t number = 1; number <= 6; ++number) {
-        offer(number, floodingWorkspace);
+        offer(number, overloadingWorkspace);
     }
     startNow();
     BOOST_TEST(offer(100, quietWorkspace).accepted);
@@ -72,17 +73,17 @@
     BOOST_TEST(startNow() == (std::vector<std::uint64_t>{3, 100}), boost::test_tools::per_element());
 }
 
-// The queue is full of one workspace's attempts. Refusing another workspace for it would be crowding out; so the
-// longest queue gives up its newest attempt, which is told so at once and has not run.
+// The queue is full of attempts of one workspace. It must not block another workspace, so the newest attempt of the
+// longest queue is evicted, and is reported at once as not run.
 BOOST_FIXTURE_TEST_CASE(fullQueue_withAnotherWorkspace_evictsFromTheLongest, TwoSlots)
 {
     offer(1, quietWorkspace);
     offer(2, quietWorkspace);
     startNow();
     for (std::uint64_t number = 10; number < 16; ++number) {
-        offer(number, floodingWorkspace);
+        offer(number, overloadingWorkspace);
     }
-    BOOST_TEST((offer(20, floodingWorkspace).code == base::ResultCode::HopQueueFull));
+    BOOST_TEST((offer(20, overloadingWorkspace).code == base::ResultCode::HopQueueFull));
     offer(30, quietWorkspace);
     offer(31, quietWorkspace);
     BOOST_TEST(offer(32, quietWorkspace).accepted);
@@ -95,16 +96,16 @@
     BOOST_TEST(decisions[0].retryAfter.count() > 0);
 }
 
-// Both slots hang. An attempt that waited past its deadline would run for a caller who has gone; it is dropped at the
-// deadline, and one that can't make it by the look of the queue is refused when it comes.
-BOOST_FIXTURE_TEST_CASE(attempt_withoutAChance_isRefusedOrDropped, TwoSlots)
+// The attempts in both slots hang. An attempt that waited past its deadline would run for a caller that has gone, so it
+// is dropped at the deadline. An attempt that is expected to miss its deadline is refused when it arrives.
+BOOST_FIXTURE_TEST_CASE(attempt_thatMissesItsDeadline_isRefusedOrDropped, TwoSlots)
 {
     offer(1, quietWorkspace);
     offer(2, quietWorkspace);
     startNow();
-    const OfferResult hopeless = offer(3, quietWorkspace, 10ms);
-    BOOST_TEST((hopeless.code == base::ResultCode::HopQueueTimeout));
-    BOOST_TEST(hopeless.retryAfter.count() > 0);
+    const OfferResult late = offer(3, quietWorkspace, 10ms);
+    BOOST_TEST((late.code == base::ResultCode::HopQueueTimeout));
+    BOOST_TEST(late.retryAfter.count() > 0);
     BOOST_TEST(offer(4, quietWorkspace, 200ms).accepted);
     BOOST_TEST((queue.nextTick() == clock.now() + 200ms));
     clock.advance(200ms);
@@ -114,45 +115,46 @@
     BOOST_TEST(queue.queued() == 0U);
 }
 
-// Lookups and refunds wait for the same server. Served in one line, refunds would come late because of lookups; served
-// strictly by urgency, no lookup would be answered while refunds wait.
+// Lookups and refunds wait for the same backend server. In order of arrival, lookups would delay refunds; in strict
+// order of priority, no lookup would be answered while refunds wait.
 BOOST_FIXTURE_TEST_CASE(tiers_whileBothWait_shareTheSlotsFourToOne, TwoSlots)
 {
-    SlotQueue crowded(clock, 1, SlotQueueSettings{100, 100, 50ms});
+    SlotQueue fullQueue(clock, 1, SlotQueueSettings{100, 100, 50ms});
     for (std::uint64_t number = 1; number <= 40; ++number) {
         const int priority = number <= 20 ? 2 : 1;
-        BOOST_TEST(crowded.offer({attempt(number), quietWorkspace, clock.now() + 10min, priority, {}}).accepted);
+        BOOST_TEST(fullQueue.offer({attempt(number), quietWorkspace, clock.now() + 10min, priority, {}}).accepted);
     }
     int urgent = 0;
     for (int turn = 0; turn < 20; ++turn) {
-        for (const QueueDecision &decision : crowded.poll()) {
+        for (const QueueDecision &decision : fullQueue.poll()) {
             urgent += decision.start && decision.attempt.request.low > 20 ? 1 : 0;
-            crowded.finished(decision.attempt);
+            fullQueue.finished(decision.attempt);
         }
     }
     BOOST_TEST(urgent == 16);
 }
 
-// The queue is so long that an answer would come when it is worth little. A place in it would only delay the others.
-BOOST_FIXTURE_TEST_CASE(offer_thatWouldComeTooLateToBeWanted_isRefused, TwoSlots)
+// The queue is so long that an answer would come too late to be of much use. Queueing the attempt would only delay the
+// others.
+BOOST_FIXTURE_TEST_CASE(offer_whoseAnswerWouldComeTooLate_isRefused, TwoSlots)
 {
     SlotQueueSettings settings{100, 100, 400ms};
     settings.maxLateness = 0.3;
     settings.runTimeReserve = 0.7;
-    SlotQueue slow(clock, 1, settings);
+    SlotQueue slowQueue(clock, 1, settings);
     const auto offerAt = [&](std::uint64_t number) {
-        return slow.offer({attempt(number), quietWorkspace, clock.now() + 2s, 1, clock.now() + 1200ms}).accepted;
+        return slowQueue.offer({attempt(number), quietWorkspace, clock.now() + 2s, 1, clock.now() + 1200ms}).accepted;
     };
     BOOST_TEST(offerAt(1));
-    slow.poll();
+    slowQueue.poll();
     BOOST_TEST(offerAt(2));
     BOOST_TEST(offerAt(3));
     BOOST_TEST(!offerAt(4));
 }
 
-// The guess of run times is far too short for this service. While it stays in the mean, ordinary runs look as if they
-// hung, and those who wait are promised an answer that can't come in time.
-BOOST_FIXTURE_TEST_CASE(runTimes_ofTheFirstRuns_replaceTheGuess, TwoSlots)
+// The initial estimate of run times is far too short for this service. While it affects the mean, ordinary runs look as
+// if they hung, and attempts are queued that cannot be answered in time.
+BOOST_FIXTURE_TEST_CASE(runTimes_ofTheFirstRuns_replaceTheInitialEstimate, TwoSlots)
 {
     BOOST_TEST(queue.runTimes().runs() == 0U);
     offer(1, quietWorkspace);
@@ -169,8 +171,9 @@
     BOOST_TEST((queue.idleSince() == clock.now()));
 }
 
-// A server in a gray spell fails at once. By its run times it would look fast, and the queue before it short.
-BOOST_FIXTURE_TEST_CASE(runTimes_ofFailedRuns_doNotCount, TwoSlots)
+// A backend server with a gray failure fails requests at once. With these run times it would look fast, and the
+// expected wait would be too short.
+BOOST_FIXTURE_TEST_CASE(runTimes_ofFailedRuns_areNotRecorded, TwoSlots)
 {
     offer(1, quietWorkspace);
     startNow();
@@ -178,9 +181,9 @@
     BOOST_TEST((queue.runTimes().mean() == 50ms));
 }
 
-// A server serves requests of 1.3 s and calls of 130 ms. Guards against refusing a call that would be answered well
-// before its deadline, because runs take longer than that on average.
-BOOST_FIXTURE_TEST_CASE(shortCall_betweenLongRuns_isJudgedByItsOwnRoute, TwoSlots)
+// A backend server serves requests of 1.3 s and calls of 130 ms. Guards against the refusal of a call that would be
+// answered well before its deadline, because the mean run time is longer.
+BOOST_FIXTURE_TEST_CASE(shortCall_betweenLongRuns_isEstimatedByItsOwnRoute, TwoSlots)
 {
     const base::RouteId history("history");
     const base::RouteId yard("yard");
@@ -208,35 +211,35 @@
     BOOST_TEST(!offerRun(history, 500ms, 1400ms));
 }
 
-// A server is full and new requests wait for it. Guards against losing the work of a run whose call is refused, or
-// waits behind requests for which nothing has been done yet.
-BOOST_FIXTURE_TEST_CASE(call_atAFullServer_waitsUntilItsDeadlineAndGoesFirst, TwoSlots)
+// A backend server is full and new requests wait for it. Guards against losing the work of a running request because
+// its call is refused or waits behind requests that have not started.
+BOOST_FIXTURE_TEST_CASE(call_atAFullServer_waitsUntilItsDeadlineAndStartsFirst, TwoSlots)
 {
     SlotQueueSettings settings{100, 100, 400ms};
     settings.runTimeReserve = 0.7;
     settings.maxLateness = 0.3;
     settings.maxWaitFraction = 0.25;
-    SlotQueue crowded(clock, 1, settings);
+    SlotQueue fullQueue(clock, 1, settings);
     const auto offerWith = [&](std::uint64_t number, base::Duration deadline, bool isCall) {
         const auto now = clock.now();
-        return crowded
+        return fullQueue
             .offer({attempt(number), quietWorkspace, now + deadline, 0, now + deadline / 3, base::RouteId(), isCall})
             .accepted;
     };
     for (std::uint64_t number = 1; number <= 3; ++number) {
         BOOST_TEST(offerWith(number, 20s, false));
-        crowded.poll();
+        fullQueue.poll();
     }
     BOOST_TEST(!offerWith(10, 1400ms, false));
     BOOST_TEST(offerWith(11, 1400ms, true));
     BOOST_TEST(!offerWith(12, 300ms, true));
-    crowded.finished(attempt(1));
-    const auto decisions = crowded.poll();
+    fullQueue.finished(attempt(1));
+    const auto decisions = fullQueue.poll();
     BOOST_REQUIRE(decisions.size() == 1U);
     BOOST_TEST((decisions[0].attempt == attempt(11)));
 }
 
-BOOST_FIXTURE_TEST_CASE(cancel_inEachState_tellsTheTruth, TwoSlots)
+BOOST_FIXTURE_TEST_CASE(cancel_inEachState_returnsThatState, TwoSlots)
 {
     for (std::uint64_t number = 1; number <= 3; ++number) {
         offer(number, quietWorkspace);
@@ -271,7 +274,7 @@
             undecided.insert(TwoSlots::attempt(number));
         }
         for (const QueueDecision &decision : fixture.queue.poll()) {
-            // An evicted attempt that was cancelled before it was told is decided already.
+            // An evicted attempt that was cancelled before the eviction was reported is decided already.
             const bool evicted = decision.code == base::ResultCode::HopQueueFull;
             RC_ASSERT(undecided.erase(decision.attempt) == 1U || evicted);
             if (decision.start) {
--- a/src/limits/tokenbroker.cpp
+++ b/src/limits/tokenbroker.cpp
@@ -10,7 +10,7 @@
 
 namespace papayastep::limits {
 
-/// The workspaces in use, their timers, and the way of messages to them.
+/// Holds the workspaces in use and their timers, and dispatches messages to them.
 class TokenBroker::Impl
 {
 public:
@@ -22,7 +22,7 @@
     }
 
     void applyConfiguration(config::ConfigurationPtr configuration);
-    void applyVmList(const config::VmList &list, base::TimePoint heardAt);
+    void applyVmList(const config::VmList &list, base::TimePoint requestedAt);
     Admission acquire(const base::WorkspaceId &workspace, const base::RequestId &request, base::TimePoint deadline);
     void cancelWaiting(const base::RequestId &request);
     void giveBack(const Token &token);
@@ -59,7 +59,7 @@
     Entry *find(const base::WorkspaceId &workspace);
     void schedule(const base::WorkspaceId &workspace, Entry &entry);
     void serviceAll();
-    void noticePause();
+    void detectClockStop();
 
     void receive(const base::VmId &from, base::Incarnation incarnation, const TokenRequest &request);
     void receive(const base::VmId &from, base::Incarnation incarnation, const TokenGrant &grant);
@@ -75,16 +75,16 @@
 
 void TokenBroker::Impl::applyConfiguration(config::ConfigurationPtr configuration)
 {
-    noticePause();
+    detectClockStop();
     if (m_context.applyConfiguration(std::move(configuration))) {
         serviceAll();
     }
 }
 
-void TokenBroker::Impl::applyVmList(const config::VmList &list, base::TimePoint heardAt)
+void TokenBroker::Impl::applyVmList(const config::VmList &list, base::TimePoint requestedAt)
 {
-    noticePause();
-    if (m_context.applyVmList(list, heardAt)) {
+    detectClockStop();
+    if (m_context.applyVmList(list, requestedAt)) {
         serviceAll();
     }
 }
@@ -93,7 +93,7 @@
                                      const base::RequestId &request,
                                      base::TimePoint deadline)
 {
-    noticePause();
+    detectClockStop();
     if (!m_context.configuration) {
         return Refused{base::ResultCode::NodeNotReady, std::chrono::seconds(1)};
     }
@@ -128,7 +128,7 @@
 
 void TokenBroker::Impl::giveBack(const Token &token)
 {
-    noticePause();
+    detectClockStop();
     Entry *entry = find(token.workspace);
     if (entry != nullptr && entry->tokens.giveBack(token)) {
         ++m_context.counters.givenBack;
@@ -141,7 +141,7 @@
                                 wire::MessageKind kind,
                                 std::string_view payload)
 {
-    noticePause();
+    detectClockStop();
     m_context.clearSuspicion(from);
     TokenRequest request;
     TokenGrant grant;
@@ -208,7 +208,7 @@
 
 void TokenBroker::Impl::tick()
 {
-    noticePause();
+    detectClockStop();
     m_context.tenure.tick();
     const base::TimePoint now = m_context.clock.now();
     while (!m_timers.empty() && m_timers.begin()->first <= now) {
@@ -240,7 +240,7 @@
         entry.tokens.drain();
         schedule(id, entry);
     }
-    PAPAYASTEP_LOG(INFO, "limits") << "Stopped granting to leave." << base::field("vm", m_context.self.vm);
+    PAPAYASTEP_LOG(INFO, "limits") << "Stopped granting before the node stops." << base::field("vm", m_context.self.vm);
 }
 
 std::vector<wire::Outgoing> TokenBroker::Impl::takeMessages()
@@ -294,7 +294,7 @@
     return found != m_entries.end() ? &found->second : nullptr;
 }
 
-/// A timer that is too early only costs a look; so it is moved only forward in time of firing, not back.
+/// Moves the timer only to an earlier time. A timer that fires too early costs only a check.
 void TokenBroker::Impl::schedule(const base::WorkspaceId &workspace, Entry &entry)
 {
     const base::TimePoint due = entry.tokens.nextDue();
@@ -317,10 +317,11 @@
     }
 }
 
-/// A VM that the platform suspends may wake with a steady clock that stood still. Its tokens then look valid though
-/// their holder has granted them anew, and the workspace exceeds its rate. The wall clock, which is set right after
-/// such a sleep, gives it away; shorter stops are part of the holder's wait.
-void TokenBroker::Impl::noticePause()
+/// Detects a stopped steady clock. A VM that the platform suspends may resume with a steady clock that did not advance.
+/// Its tokens then look valid although their holder may have granted them again, and the workspace would exceed its
+/// rate. The wall clock, which is corrected after such a suspension, reveals it. Holders wait long enough for shorter
+/// stops.
+void TokenBroker::Impl::detectClockStop()
 {
     const base::TimePoint steady = m_context.clock.now();
     const base::WallTime wall = m_context.clock.wallNow();
@@ -331,10 +332,10 @@
         return;
     }
     ++m_context.counters.pauses;
-    PAPAYASTEP_LOG(WARNING, "limits") << "The clock stood still." << base::field("vm", m_context.self.vm);
+    PAPAYASTEP_LOG(WARNING, "limits") << "Detected that the clock had stopped." << base::field("vm", m_context.self.vm);
     m_context.tenure.restart();
     for (auto &[id, entry] : m_entries) {
-        entry.tokens.forgetTokens();
+        entry.tokens.dropTokens();
         schedule(id, entry);
     }
 }
@@ -353,9 +354,9 @@
     m_impl->applyConfiguration(std::move(configuration));
 }
 
-void TokenBroker::applyVmList(const config::VmList &list, base::TimePoint heardAt)
+void TokenBroker::applyVmList(const config::VmList &list, base::TimePoint requestedAt)
 {
-    m_impl->applyVmList(list, heardAt);
+    m_impl->applyVmList(list, requestedAt);
 }
 
 Admission TokenBroker::acquire(const base::WorkspaceId &workspace,
--- a/src/limits/tokenbroker_test.cpp
+++ b/src/limits/tokenbroker_test.cpp
@@ -35,7 +35,7 @@
     return shape;
 }
 
-/// One broker that has just started, with messages of others made by hand.
+/// One broker that has just started; the test creates the messages of other nodes.
 struct StartedBroker
 {
     base::ManualClock clock;
@@ -70,9 +70,9 @@
             entry.zone = self.zone;
             list.vms.push_back(entry);
         }
-        hearList();
+        rereadList();
     }
-    void hearList()
+    void rereadList()
     {
         broker.applyVmList(list, clock.now());
         broker.tick();
@@ -81,14 +81,14 @@
     {
         for (base::Duration step = 500ms; time > 0ns; time -= step) {
             clock.advance(std::min(step, time));
-            hearList();
+            rereadList();
         }
     }
     Admission acquire()
     {
         return broker.acquire(school, base::RequestId{1, ++lastRequest}, clock.now() + 10s);
     }
-    /// Tokens that can be had now without waiting.
+    /// Returns the number of tokens that can be taken now without waiting.
     int takeAll()
     {
         int taken = 0;
@@ -97,8 +97,8 @@
         }
         return taken;
     }
-    /// An entry node asks for `wanted` tokens; returns what it was granted.
-    TokenGrant askedFor(Tokens urgent, Tokens wanted, std::uint64_t ask = 1)
+    /// Sends the ask of an entry node for `wanted` tokens and returns the answer.
+    TokenGrant askAndReceive(Tokens urgent, Tokens wanted, std::uint64_t ask = 1)
     {
         const TokenRequest request{{TokenAsk{school, ask, urgent, wanted, false}}, {}};
         broker.takeMessages();
@@ -133,7 +133,7 @@
     }
 };
 
-/// The broker is an entry; vm-1 holds the share and is played by the test.
+/// The broker is an entry. The test plays the holder vm-1.
 struct LoneEntry : LoneBroker
 {
     TokenAsk ask;
@@ -174,7 +174,7 @@
     broker.takeMessages();
     BOOST_TEST(takeAll() == 4);
     BOOST_TEST(broker.takeMessages().empty());
-    // A token every 100 ms, and the allowance for a clock that runs fast.
+    // The share refills a token in 100 ms, and slightly later because of the allowance for fast clocks.
     wait(101ms);
     BOOST_TEST(takeAll() == 1);
     const auto refused = std::get<Refused>(acquire());
@@ -182,21 +182,22 @@
     BOOST_TEST(refused.retryAfter.count() > 0);
 }
 
-// A holder restarts within the life of its grants. What its old self granted may be spent yet; tokens granted now would
-// come on top, and the workspace would exceed its burst.
+// A holder restarts within the lifetime of its grants. The tokens that it granted before the restart may still be
+// spent. Tokens granted now would come in addition, and the workspace would exceed its burst.
 BOOST_FIXTURE_TEST_CASE(holder_afterRestart_grantsNothingAtFirst, LoneBroker)
 {
     BOOST_TEST(takeAll() == 0);
     wait(1s);
     BOOST_TEST(takeAll() == 0);
-    BOOST_TEST(askedFor(oneToken, oneToken).answers.at(0).parts.empty());
+    BOOST_TEST(askAndReceive(oneToken, oneToken).answers.at(0).parts.empty());
     wait(10s);
     BOOST_TEST(takeAll() == 4);
 }
 
-// The same restart, but a witness has seen the zone unchanged all along: nobody stood in, so it is enough to wait for
-// the grants of the old self to run out. Not waiting for these would let them be spent beside the new ones.
-BOOST_FIXTURE_TEST_CASE(holder_restartedUnderUnchangedList_waitsForItsOldGrantsOnly, StartedBroker)
+// The same restart, but a witness reports that the zone has not changed, so no other VM has held the shares. It is
+// enough to wait until the grants from before the restart have expired; without that wait they could be spent in
+// addition to the new ones.
+BOOST_FIXTURE_TEST_CASE(holder_restartedWithUnchangedList_waitsOnlyForItsOldGrants, StartedBroker)
 {
     applyList({"vm-0", "vm-1"});
     for (const wire::Outgoing &message : broker.takeMessages()) {
@@ -225,9 +226,9 @@
     BOOST_TEST(held() > 0);
 }
 
-// The platform suspends the VM for ten seconds and its steady clock stands still: tokens in hand look fresh, but
+// The platform suspends the VM for ten seconds and its steady clock stops. The tokens of the node look valid, but
 // another VM may hold the share by now.
-BOOST_AUTO_TEST_CASE(entry_wokenWithAStoppedClock_forgetsItsTokens)
+BOOST_AUTO_TEST_CASE(entry_resumedWithAStoppedClock_dropsItsTokens)
 {
     FleetBus bus(fleet(4, 1), {terms(40, 40)}, 5);
     bus.offerStream(0, 30, 8s, 12s, true);
@@ -237,9 +238,9 @@
     BOOST_TEST(bus.broker(1).status(school).entryTokens == 0);
 }
 
-// Zone 0 gets all requests of a workspace and needs more than its share. Operators see from the counters how much moved
-// within the zone and how much the other zone lent.
-BOOST_AUTO_TEST_CASE(counters_ofGrantsAndLoans_holdTheTokensMoved)
+// Zone 0 receives all requests of a workspace and needs more than its share. The counters must show operators how many
+// tokens were granted within the zone and how many the other zone lent.
+BOOST_AUTO_TEST_CASE(counters_ofGrantsAndLoans_countTheTokens)
 {
     FleetBus bus(fleet(6, 2), {terms(40, 40)}, 5);
     for (int step = 0; step < 300; ++step) {
@@ -257,9 +258,9 @@
     BOOST_TEST(granted + lent <= 2 * 300);
 }
 
-// The VM list no longer names a holder that lives, and the platform can't be read from there, nor can its zone be
-// reached. It must stop by itself before its successor starts, or the share counts twice.
-BOOST_AUTO_TEST_CASE(holder_droppedFromTheListAndCutOff_stopsBeforeItsSuccessorStarts)
+// The VM list no longer contains a holder that is running and can reach neither the platform nor its zone. It must stop
+// granting by itself before its successor starts; otherwise both grant the same share.
+BOOST_AUTO_TEST_CASE(holder_removedFromTheListAndPartitioned_stopsBeforeItsSuccessorStarts)
 {
     std::vector<config::Workspace> workspaces(16, terms(20, 40));
     for (std::size_t index = 0; index < workspaces.size(); ++index) {
@@ -284,8 +285,8 @@
     BOOST_TEST(stopped);
 }
 
-// The platform is away for long and nothing else is wrong. Holders then prove themselves to witnesses, and callers
-// notice nothing.
+// The platform is unavailable for a long time and nothing else fails. Holders then get their proof from witnesses, and
+// no request is refused.
 BOOST_AUTO_TEST_CASE(fleet_withoutPlatform_admitsTheWholeRate)
 {
     FleetBus bus(fleet(8, 2), {terms(10, 10)}, 5);
@@ -295,8 +296,9 @@
     BOOST_TEST(bus.admissions(0).size() == bus.requests().size());
 }
 
-// A whole side of the fleet is cut off. Each side goes on with the shares it has, and both together keep the cap.
-BOOST_AUTO_TEST_CASE(fleet_splitInTwo_servesOnBothSidesWithinTheCap)
+// A network partition divides the fleet. Each side continues with the shares that it holds, and both together keep the
+// cap.
+BOOST_AUTO_TEST_CASE(fleet_inAPartition_servesWithinTheCap)
 {
     FleetBus bus(fleet(12, 2), {terms(20, 20)}, 5);
     bus.schedule(Fault{FaultKind::Split, 20s, 20s, 0, 6});
@@ -311,9 +313,9 @@
     BOOST_TEST((servedLate(true) || servedLate(false)));
 }
 
-// Requests wait for a holder that went silent. Each must be refused or served within the wait limit, with a time to
-// come back, and never be held until its deadline of ten seconds.
-BOOST_AUTO_TEST_CASE(request_withSilentHolders_isDecidedSoon)
+// Requests wait for a holder that has stopped answering. Each must be admitted, or refused with a retry time, within
+// the wait limit, and never wait until its deadline of ten seconds.
+BOOST_AUTO_TEST_CASE(request_withUnresponsiveHolders_isDecidedWithinTheWaitLimit)
 {
     FleetBus bus(fleet(6, 2), {terms(20, 20)}, 5);
     for (int node = 1; node < 6; ++node) {
@@ -328,8 +330,8 @@
     }
 }
 
-// A grant comes from a VM that was not asked, for another incarnation, twice, or with more than was wanted. Any of them
-// taken in would be a token that no share has given.
+// A grant comes from a VM that was not asked, for another incarnation, or twice. If one of them were accepted, a token
+// would be spent that no share has granted.
 BOOST_FIXTURE_TEST_CASE(entry_withForgedOrRepeatedGrants_admitsNothing, LoneEntry)
 {
     startWaiting();
@@ -344,6 +346,7 @@
     BOOST_TEST(broker.counters().messagesIgnored == 4U);
 }
 
+// A grant contains more tokens than were wanted. If it were accepted, tokens would be spent that no share has granted.
 BOOST_FIXTURE_TEST_CASE(entry_withTooLargeGrant_takesNothing, LoneEntry)
 {
     startWaiting();
@@ -351,7 +354,8 @@
     BOOST_TEST(admittedNow() == 0U);
 }
 
-// The answer of the holder comes after the grant has run out for this node. The holder may have granted anew.
+// The answer of the holder arrives after the grant has expired at this node. The holder may have granted the token
+// again.
 BOOST_FIXTURE_TEST_CASE(entry_withLateGrant_ignoresIt, LoneEntry)
 {
     startWaiting();
@@ -362,8 +366,8 @@
     BOOST_TEST(takeAll() == 0);
 }
 
-// The process was paused with a token in stock. The holder counts it as expired and may have granted it anew.
-BOOST_FIXTURE_TEST_CASE(entry_pausedBeyondTheValidity_spendsNothingFromStock, LoneEntry)
+// The process was paused with an unspent token. The holder counts it as expired and may have granted it again.
+BOOST_FIXTURE_TEST_CASE(entry_pausedBeyondTheValidity_spendsNoOldToken, LoneEntry)
 {
     startWaiting();
     broker.cancelWaiting(base::RequestId{1, lastRequest});
@@ -372,7 +376,7 @@
     BOOST_TEST(takeAll() == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(entry_whoseCallerHasGone_forgetsTheRequest, LoneEntry)
+BOOST_FIXTURE_TEST_CASE(entry_whoseCallerHasGone_dropsTheRequest, LoneEntry)
 {
     startWaiting();
     broker.cancelWaiting(base::RequestId{1, lastRequest});
@@ -381,10 +385,11 @@
     BOOST_TEST(takeAll() == 1);
 }
 
-// A report names a grant of an earlier incarnation, or comes again. Tokens would come back that were never there.
-BOOST_FIXTURE_TEST_CASE(holder_withStrangeReports_makesNoToken, SettledHolder)
+// A report names a grant of an earlier incarnation or an unknown grant, or arrives twice. If it were accepted, tokens
+// would be returned that do not exist.
+BOOST_FIXTURE_TEST_CASE(holder_withInvalidReports_createsNoToken, SettledHolder)
 {
-    const TokenGrant grant = askedFor(3 * oneToken, 3 * oneToken);
+    const TokenGrant grant = askAndReceive(3 * oneToken, 3 * oneToken);
     const std::uint64_t id = grant.answers.at(0).parts.at(0).grantId;
     report(GrantUse{school, 6, id, 0, 3 * oneToken});
     report(GrantUse{school, 7, id + 1, 0, 3 * oneToken});
@@ -393,12 +398,12 @@
     report(GrantUse{school, 7, id, 0, 3 * oneToken});
     BOOST_TEST(broker.status(school).shares.at(0).level == 4);
     BOOST_TEST(takeAll() == 4);
-    BOOST_TEST(askedFor(-5, -1).answers.empty());
+    BOOST_TEST(askAndReceive(-5, -1).answers.empty());
 }
 
-// An operator takes a workspace away and puts it back while its tokens are out. A full share would give the burst
-// twice.
-BOOST_FIXTURE_TEST_CASE(workspace_removedAndBack_doesNotBeginFull, SettledHolder)
+// An operator removes a workspace and adds it again while its tokens are still in use. A full share would give the
+// burst twice.
+BOOST_FIXTURE_TEST_CASE(workspace_removedAndAddedAgain_doesNotStartFull, SettledHolder)
 {
     BOOST_TEST(takeAll() == 4);
     configure(2, {});
@@ -409,7 +414,8 @@
     BOOST_TEST(takeAll() == 4);
 }
 
-// A zone is taken out of the configuration. This node's share grows only when the other's holder has surely heard so.
+// A zone is removed from the configuration. The share of this node must grow only after the holder of the other share
+// has certainly received the change.
 BOOST_FIXTURE_TEST_CASE(share_thatGrows_waitsForTheOthersToShrink, SettledHolder)
 {
     configure(2, {terms(10, 4)}, 2);
@@ -423,7 +429,7 @@
     BOOST_TEST(takeAll() == 4);
 }
 
-BOOST_FIXTURE_TEST_CASE(workspace_withOddTerms_getsNoMoreThanTheySay, SettledHolder)
+BOOST_FIXTURE_TEST_CASE(workspace_withInvalidOrExtremeTerms_getsNoMoreThanAllowed, SettledHolder)
 {
     configure(2, {terms(0, 0)});
     BOOST_TEST(takeAll() == 0);
@@ -437,8 +443,8 @@
     BOOST_TEST(takeAll() == 3);
 }
 
-// A request is refused as not run: its token must serve the next one, but once only.
-BOOST_FIXTURE_TEST_CASE(token_givenBack_servesAnotherRequest, SettledHolder)
+// A request is refused as not run. Its token must serve the next request, but only once.
+BOOST_FIXTURE_TEST_CASE(token_returned_servesAnotherRequest, SettledHolder)
 {
     const Token token = std::get<Admitted>(acquire()).token;
     BOOST_TEST(takeAll() == 3);
@@ -447,7 +453,7 @@
     BOOST_TEST(takeAll() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(idleWorkspaces_overTime_costNothing)
+BOOST_AUTO_TEST_CASE(idleWorkspaces_overTime_needNoMessagesOrState)
 {
     std::vector<config::Workspace> workspaces(1000, terms(5, 5));
     for (std::size_t index = 0; index < workspaces.size(); ++index) {
@@ -464,9 +470,9 @@
     }
 }
 
-// The small rates of small tenants, cut into shares over 23 nodes: none of their evenly spaced requests may be refused,
-// or a family loses its booking though it asked for nothing beyond its rate.
-BOOST_AUTO_TEST_CASE(workspacesWithinTheirRate_besideAFlood_areAllServed)
+// The rates of small workspaces are divided into shares in a fleet of 23 nodes. None of their evenly spaced requests
+// may be refused, since they keep to their rate.
+BOOST_AUTO_TEST_CASE(workspacesWithinTheirRate_besideAnOverload_areAllServed)
 {
     const double rates[] = {30, 5, 0.5, 0.5};
     const double bursts[] = {30, 2, 1, 5};
@@ -530,9 +536,9 @@
 
 }
 
-// Found by limit-cap, seed 137: an entry node spent a token and told the holder, which refilled its place; a pause
-// later the request came back as not run, in the moment in which another token of the same grant was spent and not yet
-// told. Undoing that one instead let one request too many through.
+// Case of limit-cap with seed 137: an entry node spends a token and reports it to the holder, which refills. After a
+// pause the request is returned as not run, while another spend of the same grant is not reported yet. If that other
+// spend were undone instead, one request too many would be admitted.
 BOOST_AUTO_TEST_CASE(fleet_underSeed137_keepsEveryWindowWithinRateAndBurst)
 {
     FleetShape shape = fleet(5, 1);
@@ -553,8 +559,9 @@
     }
 }
 
-// Restarts, pauses, suspends, one-way breaks, splits, a platform out of reach, list drops, lost, repeated and late
-// messages, and changed terms, in any order: a caller of one workspace must never get more than its operator allows.
+// Restarts, pauses, suspensions, one-way link failures, partitions, an unreachable platform, missing list entries,
+// lost, duplicated and late messages, and changed terms occur in any order. No workspace must ever be admitted more
+// than its rate and burst allow.
 RC_BOOST_PROP(fleet_underAnyFaults_keepsEveryWindowWithinRateAndBurst, ())
 {
     const int zones = *rc::gen::inRange(1, 4);
--- a/src/limits/tokens.cpp
+++ b/src/limits/tokens.cpp
@@ -7,7 +7,7 @@
 
 Tokens tokensOf(double whole)
 {
-    // Written so that NaN, which compares false with everything, ends up as 0.
+    // Comparisons with NaN are false, so this form returns 0 for it.
     if (!(whole > 0)) {
         return 0;
     }
--- a/src/limits/tokenshare.cpp
+++ b/src/limits/tokenshare.cpp
@@ -11,12 +11,12 @@
 constexpr std::int64_t nanosPerSecond = 1'000'000'000;
 constexpr std::size_t firstSpendCapacity = 4;
 
-/// What `ratePerSecond` yields in `passed`, at most `most`; the product may exceed 64 bits.
-Tokens yieldOf(Tokens ratePerSecond, base::Duration passed, Tokens most)
+/// Returns the tokens that `ratePerSecond` adds in `passed`, at most `limit`. The product may exceed 64 bits.
+Tokens refillAmount(Tokens ratePerSecond, base::Duration passed, Tokens limit)
 {
     __extension__ using Wide = __int128;
-    const Wide yield = static_cast<Wide>(ratePerSecond) * passed.count() / nanosPerSecond;
-    return yield < most ? static_cast<Tokens>(yield) : most;
+    const Wide amount = static_cast<Wide>(ratePerSecond) * passed.count() / nanosPerSecond;
+    return amount < limit ? static_cast<Tokens>(amount) : limit;
 }
 
 }
@@ -37,7 +37,7 @@
     if (found == m_grants.end() || found->id != id || spent < 0 || unused < 0) {
         return std::nullopt;
     }
-    // Totals only rise; an overtaken report has smaller ones. Written without sums of foreign numbers: they could
+    // Totals only rise; a reordered report has smaller ones. The sums avoid adding received numbers, which could
     // overflow.
     const Tokens newSpent = std::max(spent, found->spent);
     const Tokens newUnused = std::max(unused, found->unused);
@@ -103,7 +103,8 @@
 
 void TokenShare::refill(base::TimePoint now)
 {
-    // Step by step, so that a grant takes room only until its own expiry and not over a whole idle time.
+    // Refills in steps, so that each grant occupies its part of the burst only until its own expiry and not for a whole
+    // idle time.
     while (m_grants.nextExpiry() <= now) {
         const base::TimePoint expiry = m_grants.nextExpiry();
         refillUntil(expiry);
@@ -150,7 +151,7 @@
     if (!change) {
         return false;
     }
-    // The room was kept for these, but a smaller burst may have come into force since.
+    // The burst had room for these tokens when they were granted, but may have been lowered since.
     m_level += std::clamp<Tokens>(room(), 0, change->unused);
     return true;
 }
@@ -205,12 +206,13 @@
     const base::Duration passed = until - m_refilledAt;
     m_refilledAt = until;
     const Tokens wanted = std::max<Tokens>(0, m_terms.burst - m_level);
-    const Tokens gain = yieldOf(m_terms.ratePerSecond, passed, wanted);
+    const Tokens gain = refillAmount(m_terms.ratePerSecond, passed, wanted);
     dropOldestSpends(gain);
     m_level += std::clamp<Tokens>(room(), 0, gain);
 }
 
-/// Spends keep their place in the burst only while nothing else needs it.
+/// Removes the oldest spends until `needed` tokens fit. A spend reserves its part of the burst, so that it can be
+/// returned, only while the refill does not need it.
 void TokenShare::dropOldestSpends(Tokens needed)
 {
     while (room() < needed && !m_spends.empty()) {
