--- a/src/limits/tokenshare.h
+++ b/src/limits/tokenshare.h
@@ -12,7 +12,7 @@
 
 namespace papayastep::limits {
 
-/// What a share may give out.
+/// Rate and burst of a share.
 struct ShareTerms
 {
     Tokens ratePerSecond = 0;
@@ -21,15 +21,15 @@
     auto operator<=>(const ShareTerms &) const = default;
 };
 
-/// Tokens that were given away and may still be spent elsewhere.
+/// A grant whose tokens may still be spent by its receiver.
 struct OpenGrant
 {
     std::uint64_t id = 0;
     Tokens amount = 0;
-    Tokens spent = 0; ///< Known so far.
-    Tokens unused = 0; ///< Returned so far.
-    base::TimePoint expiry; ///< From then on the receiver surely can't spend them.
-    std::uint64_t lot = 0; ///< The lot they were taken from; 0: the own level.
+    Tokens spent = 0; ///< Total that the receiver has reported as spent.
+    Tokens unused = 0; ///< Total that the receiver has returned.
+    base::TimePoint expiry; ///< Time from which on the receiver certainly cannot spend the tokens.
+    std::uint64_t lot = 0; ///< Lot from which the tokens were taken; 0 for the level of the own share.
 
     Tokens open() const
     {
@@ -37,7 +37,7 @@
     }
 };
 
-/// How a report changed a grant.
+/// The changes of a grant by one report.
 struct GrantChange
 {
     Tokens spent = 0;
@@ -45,20 +45,20 @@
     std::uint64_t lot = 0;
 };
 
-/// Grants that may still be spent elsewhere, in the order of their ids.
+/// Open grants, sorted by id.
 class GrantTable
 {
 public:
     void add(const OpenGrant &grant);
 
-    /// Takes in the totals of a report. Nothing for an unknown grant (closed, expired, or never made) and for a report
-    /// that claims more than was granted.
+    /// Applies the totals of a report. Returns nullopt for an unknown grant (closed, expired or never made), and for a
+    /// report that claims more than was granted.
     std::optional<GrantChange> report(std::uint64_t id, Tokens spent, Tokens unused);
 
     /// Removes and returns a grant that has expired by `now`, the earliest first.
     std::optional<OpenGrant> takeExpired(base::TimePoint now);
 
-    /// TimePoint::max() without any grant.
+    /// Earliest expiry of a grant; TimePoint::max() if there is none.
     base::TimePoint nextExpiry() const;
     Tokens open() const;
     bool empty() const;
@@ -71,46 +71,49 @@
     base::TimePoint m_nextExpiry = base::TimePoint::max();
 };
 
-/// The part of a workspace's rate and burst that this node holds.
+/// Share of a workspace's rate and burst that this node holds.
 ///
-/// Invariant: level + open grants + spends that can still be given back <= burst, at any time. A spend lowers the
-/// true sum of unspent tokens by one and only the refill raises it; so in any window of length t the spends are
-/// at most burst + rate x t. Every grant counts as unspent until it is reported or surely expired.
+/// Invariant: level + open grants + spends that can still be returned <= burst, at any time. A spend lowers the actual
+/// sum of unspent tokens by its amount and only the refill raises it, so in any window of length t the spends are at
+/// most burst + rate x t. Every grant counts as unspent until it is reported or certainly expired.
 class TokenShare
 {
 public:
-    /// Refills since `since`, at which it was empty.
+    /// Creates a share that was empty at `since` and has refilled from then on.
     TokenShare(ShareTerms terms, base::TimePoint since);
 
-    /// Refills up to `now`. To be called before anything else at that time.
+    /// Refills up to `now`. Must be called before any other function for that time.
     void refill(base::TimePoint now);
 
-    /// A smaller burst cuts the level at once.
+    /// Sets rate and burst. A smaller burst lowers the level at once.
     void setTerms(ShareTerms terms);
     const ShareTerms &terms() const;
 
     Tokens level() const;
     Tokens outstanding() const;
 
-    /// Gives `amount` (at most level()) away until `expiry`.
+    /// Grants `amount` (at most level()) until `expiry`.
     void grant(std::uint64_t id, Tokens amount, base::TimePoint expiry);
-    /// See GrantTable::report(). Unused tokens come back to the level.
+    /// Applies a report, see GrantTable::report(). Unused tokens are added to the level. Returns false for a rejected
+    /// report.
     bool report(std::uint64_t id, Tokens spent, Tokens unused);
 
-    /// Spends `amount` (at most level()) here. Returns the number of the spend.
+    /// Spends `amount` (at most level()) at this node. Returns the number of the spend.
     std::uint64_t spend(Tokens amount, base::TimePoint now);
-    /// Undoes a spend, unless its place has been refilled since: then a token given back would be one too many.
+    /// Undoes a spend. Returns false if the share may have refilled since, because the returned token would then exceed
+    /// the burst.
     bool giveBack(std::uint64_t spendNumber);
 
-    /// Full and nothing outstanding: as good as a new share.
+    /// Whether the share is full and has no open grant, and so is equivalent to a new one.
     bool isUntouched() const;
-    /// When the level will have risen to `level`, if nothing is taken; a far time for a share without a rate.
+    /// Time at which the level will have risen to `level` if nothing is taken, at most a day ahead; a day ahead for a
+    /// share without a rate.
     base::TimePoint timeOfLevel(Tokens level) const;
 
 private:
     struct Spend
     {
-        Tokens amount = 0; ///< 0 once given back.
+        Tokens amount = 0; ///< Tokens spent; 0 after they were returned.
         base::TimePoint spentAt;
     };
 
@@ -120,10 +123,10 @@
 
     ShareTerms m_terms;
     Tokens m_level = 0;
-    Tokens m_returnable = 0; ///< Sum of m_spends.
+    Tokens m_returnable = 0; ///< Sum of the amounts in m_spends.
     base::TimePoint m_refilledAt;
     GrantTable m_grants;
-    boost::circular_buffer<Spend> m_spends; ///< Those that may still be given back, the oldest first.
+    boost::circular_buffer<Spend> m_spends; ///< Spends that may still be returned, the oldest first.
     std::uint64_t m_firstSpendNumber = 1; ///< Number of m_spends.front().
 };
 
--- a/src/limits/tokenshare_test.cpp
+++ b/src/limits/tokenshare_test.cpp
@@ -35,15 +35,15 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(share_afterAnHour_isFullAndNotMore, FullShare)
+BOOST_FIXTURE_TEST_CASE(share_afterAnHour_isExactlyFull, FullShare)
 {
     BOOST_TEST(share.level() == 5 * oneToken);
     BOOST_TEST(share.isUntouched());
 }
 
-// An entry node holds granted tokens while the share refills behind it. If grants took no room, the tokens there and
-// the full share together would exceed the burst, and a flood would get more than the operator allows.
-BOOST_FIXTURE_TEST_CASE(share_withOpenGrant_leavesItsRoomEmpty, FullShare)
+// An entry node holds granted tokens while the share refills. If grants did not occupy a part of the burst, these
+// tokens and the full share together would exceed it, and a workspace would be admitted more than the operator allows.
+BOOST_FIXTURE_TEST_CASE(share_withOpenGrant_doesNotRefillItsPart, FullShare)
 {
     share.grant(1, 3 * oneToken, now + 1s);
     wait(900ms);
@@ -53,8 +53,8 @@
     BOOST_TEST(share.level() == 3 * oneToken);
 }
 
-// A report arrives twice, a late one after a newer one, or one that claims more than was granted. Counted again, it
-// would put tokens back that were spent.
+// A report arrives twice, an old one after a newer one, or one that claims more than was granted. If it were counted,
+// tokens that were spent would be returned.
 BOOST_FIXTURE_TEST_CASE(share_withRepeatedReports_countsOnce, FullShare)
 {
     share.grant(1, 3 * oneToken, now + 1s);
@@ -70,9 +70,9 @@
     BOOST_TEST(share.outstanding() == oneToken);
 }
 
-// A request is refused as not run long after it took its token, and the place of the token has been refilled. Giving it
-// back would allow one request too many: five in flight, five more at once, and then the first five again.
-BOOST_FIXTURE_TEST_CASE(spend_givenBackAfterRefill_isLost, FullShare)
+// A request is refused as not run long after it took its token, and the share has refilled since. Returning the token
+// would allow too many requests: five in flight, five more at once, and then the first five again.
+BOOST_FIXTURE_TEST_CASE(spend_returnedAfterRefill_isLost, FullShare)
 {
     std::array<std::uint64_t, 5> spends{};
     for (std::uint64_t &spend : spends) {
@@ -87,7 +87,8 @@
     BOOST_TEST(!share.giveBack(99));
 }
 
-// An operator lowers the burst while tokens are out. The level must follow at once, and no report may lift it above.
+// An operator lowers the burst while tokens are granted. The level must drop at once, and no report may raise it above
+// the burst.
 BOOST_FIXTURE_TEST_CASE(share_withSmallerBurst_shrinksAtOnce, FullShare)
 {
     share.grant(1, 2 * oneToken, now + 1s);
@@ -97,7 +98,7 @@
     BOOST_TEST(share.level() == oneToken);
 }
 
-BOOST_AUTO_TEST_CASE(tokensOf_oddNumbers_makesNone)
+BOOST_AUTO_TEST_CASE(tokensOf_invalidNumbers_returnsNoTokens)
 {
     BOOST_TEST(tokensOf(-1) == 0);
     BOOST_TEST(tokensOf(std::nan("")) == 0);
@@ -124,7 +125,7 @@
             share.grant(++lastGrant, amount, now + 1s);
             grants[lastGrant] = OpenGrant{lastGrant, amount, 0, 0, now + 1s, 0};
         } else if (action % 5 == 1 && !grants.empty()) {
-            // The receiver spends within the validity, and reports sooner, later or never.
+            // The receiver spends within the validity, and reports early, late or never.
             OpenGrant &grant = std::next(grants.begin(), value % static_cast<int>(grants.size()))->second;
             const Tokens part = now < grant.expiry ? grant.open() / 2 : 0;
             grant.spent += part;
--- a/src/limits/workspacetokens.cpp
+++ b/src/limits/workspacetokens.cpp
@@ -12,23 +12,24 @@
 constexpr base::Duration deadlineMargin = std::chrono::milliseconds(5);
 constexpr base::Duration shortestRetryAfter = std::chrono::milliseconds(1);
 constexpr base::Duration longestRetryAfter = std::chrono::hours(1);
-constexpr base::Duration crowdedRetryAfter = std::chrono::milliseconds(20);
+constexpr base::Duration defaultRetryAfter = std::chrono::milliseconds(20);
 constexpr base::Duration overloadPause = std::chrono::milliseconds(200);
-constexpr base::Duration longestPause = std::chrono::milliseconds(50);
-constexpr base::Duration staleAfter = std::chrono::milliseconds(50);
-constexpr base::Duration forgetAfter = std::chrono::seconds(3);
-constexpr base::Duration longestSettle = std::chrono::milliseconds(100);
-constexpr int settleDivisor = 40; ///< Unreported spends hold up at most this part of a share's refill.
-constexpr int slowFill = 8; ///< A share that fills in more grant validities than this loses little to open grants.
+constexpr base::Duration maxPause = std::chrono::milliseconds(50);
+constexpr base::Duration maxLevelAge = std::chrono::milliseconds(50);
+constexpr base::Duration idleTimeout = std::chrono::seconds(3);
+constexpr base::Duration maxReportDelay = std::chrono::milliseconds(100);
+constexpr int reportDivisor = 40; ///< Unreported spends delay at most this part of a share's refill.
+/// A share that takes more grant validities than this to fill loses little to open grants.
+constexpr int slowFillValidities = 8;
 constexpr double overloadFraction = 0.3;
 constexpr double overloadEvents = 3;
-constexpr double prefetchRefill = 0.4; ///< Ask anew when less than this part of the horizon is left.
-constexpr double holdFactor = 1.6; ///< Unused tokens go back after this many prefetch horizons.
-constexpr int extraDivisor = 4; ///< Tokens that nobody waits for come from at most this part of a level.
-constexpr int maxRounds = 3;
-constexpr Tokens crumb = oneToken / 1000;
+constexpr double prefetchRefill = 0.4; ///< Fraction of the prefetched demand below which more tokens are requested.
+constexpr double returnFactor = 1.6; ///< Number of prefetch times after which unused tokens are returned.
+constexpr int extraDivisor = 4; ///< Tokens that no request waits for use at most this part of a level.
+constexpr int maxLoanRounds = 3;
+constexpr Tokens minLoan = oneToken / 1000;
 
-Tokens wholeOnly(Tokens amount)
+Tokens roundDownToWhole(Tokens amount)
 {
     return amount / oneToken * oneToken;
 }
@@ -39,7 +40,7 @@
     return static_cast<std::uint32_t>(std::clamp<std::int64_t>(count, 0, UINT32_MAX));
 }
 
-Tokens yield(double perSecond, base::Duration time)
+Tokens tokensIn(double perSecond, base::Duration time)
 {
     const double amount = perSecond * std::chrono::duration<double>(time).count();
     return static_cast<Tokens>(std::min(amount, maxWholeTokens * static_cast<double>(oneToken)));
@@ -81,13 +82,13 @@
     }
     const base::TimePoint until = std::min(now + m_context.settings.waitLimit, deadline - deadlineMargin);
     if (until <= now) {
-        return Refused{base::ResultCode::DeadlineExceeded, crowdedRetryAfter};
+        return Refused{base::ResultCode::DeadlineExceeded, defaultRetryAfter};
     }
-    Waiter need;
-    need.request = request;
-    need.urgent = oneToken;
-    need.until = until;
-    m_waiters.push_back(need);
+    Waiter waiter;
+    waiter.request = request;
+    waiter.urgent = oneToken;
+    waiter.until = until;
+    m_waiters.push_back(waiter);
     serveWaiters();
     std::vector<AdmissionDecision> &decisions = m_context.decisions;
     if (!decisions.empty() && decisions.back().request == request) {
@@ -100,8 +101,8 @@
 
 bool WorkspaceTokens::cancelWaiting(const base::RequestId &request)
 {
-    const auto removed
-        = std::erase_if(m_waiters, [&request](const Waiter &need) { return !need.remote && need.request == request; });
+    const auto removed = std::erase_if(
+        m_waiters, [&request](const Waiter &waiter) { return !waiter.remote && waiter.request == request; });
     return removed != 0;
 }
 
@@ -134,15 +135,15 @@
         return;
     }
     m_requestedRate.add(wholeTokens(ask.urgent), now);
-    Waiter need;
-    need.remote = true;
-    need.from = from;
-    need.incarnation = incarnation;
-    need.askId = ask.askId;
-    need.urgent = ask.urgent;
-    need.wanted = ask.wanted;
-    need.until = now + m_context.settings.loanTimeout;
-    m_waiters.push_back(need);
+    Waiter waiter;
+    waiter.remote = true;
+    waiter.from = from;
+    waiter.incarnation = incarnation;
+    waiter.askId = ask.askId;
+    waiter.urgent = ask.urgent;
+    waiter.wanted = ask.wanted;
+    waiter.until = now + m_context.settings.loanTimeout;
+    m_waiters.push_back(waiter);
     serveWaiters();
     prefetch();
 }
@@ -159,7 +160,7 @@
     m_context.askWorkspaces.erase(ask.id);
     m_asks.erase(found);
     const base::TimePoint now = m_context.clock.now();
-    const auto hold = std::chrono::duration_cast<base::Duration>(m_context.settings.prefetch * holdFactor);
+    const auto hold = std::chrono::duration_cast<base::Duration>(m_context.settings.prefetch * returnFactor);
     Tokens granted = 0;
     for (const GrantPart &part : answer.parts) {
         const base::TimePoint usableUntil = ask.askedAt + std::chrono::microseconds(part.validity);
@@ -184,10 +185,10 @@
         m_receivedRetryAfter = std::chrono::microseconds(answer.retryAfter);
     }
     if (ask.loan && ask.view < m_views.size() && m_views[ask.view].holder == from) {
-        ShareView &site = m_views[ask.view];
-        site.level = std::clamp<Tokens>(answer.level, 0, site.burst);
-        site.levelReceivedAt = now;
-        site.busyUntil = answer.busy ? now + overloadPause : now;
+        ShareView &view = m_views[ask.view];
+        view.level = std::clamp<Tokens>(answer.level, 0, view.burst);
+        view.levelReceivedAt = now;
+        view.busyUntil = answer.busy ? now + overloadPause : now;
     }
     serveWaiters();
     return true;
@@ -211,10 +212,10 @@
     for (const auto &[holder, use] : m_lots.takeDueReports(m_id, now)) {
         m_context.outbox.report(holder, use);
     }
-    forgetAsks([&](const PendingAsk &ask) { return ask.askedAt + m_context.settings.grantValidity <= now; });
+    removeAsks([&](const PendingAsk &ask) { return ask.askedAt + m_context.settings.grantValidity <= now; });
     for (PendingAsk &ask : m_asks) {
-        const base::Duration patience = ask.loan ? m_context.settings.loanTimeout : m_context.settings.askTimeout;
-        if (!ask.timedOut && ask.askedAt + patience <= now) {
+        const base::Duration timeout = ask.loan ? m_context.settings.loanTimeout : m_context.settings.askTimeout;
+        if (!ask.timedOut && ask.askedAt + timeout <= now) {
             ask.timedOut = true;
             m_context.suspect(ask.to);
             if (ask.view < m_views.size()) {
@@ -228,32 +229,32 @@
 base::TimePoint WorkspaceTokens::nextDue() const
 {
     base::TimePoint due = m_lots.nextDue();
-    for (const Waiter &need : m_waiters) {
-        due = std::min(due, need.until);
+    for (const Waiter &waiter : m_waiters) {
+        due = std::min(due, waiter.until);
     }
     for (const PendingAsk &ask : m_asks) {
-        const base::Duration patience = ask.loan ? m_context.settings.loanTimeout : m_context.settings.askTimeout;
-        due = std::min(due, ask.askedAt + (ask.timedOut ? m_context.settings.grantValidity : patience));
+        const base::Duration timeout = ask.loan ? m_context.settings.loanTimeout : m_context.settings.askTimeout;
+        due = std::min(due, ask.askedAt + (ask.timedOut ? m_context.settings.grantValidity : timeout));
     }
     return due != base::TimePoint::max() ? due : idleAt();
 }
 
-/// When it is next worth a look whether this workspace can be forgotten.
+/// Returns the time of the next check whether the state of this workspace can be removed.
 base::TimePoint WorkspaceTokens::idleAt() const
 {
-    const base::TimePoint unused = m_lastUse + forgetAfter;
+    const base::TimePoint unused = m_lastUse + idleTimeout;
     if (!m_share || m_share->isUntouched()) {
         return unused;
     }
     const base::TimePoint full = m_share->timeOfLevel(m_share->terms().burst);
-    return std::max({unused, full, m_context.clock.now() + forgetAfter});
+    return std::max({unused, full, m_context.clock.now() + idleTimeout});
 }
 
 bool WorkspaceTokens::isIdle() const
 {
     const bool used = !m_waiters.empty() || !m_asks.empty() || !m_lots.empty();
     const bool untouched = !m_share || m_share->isUntouched();
-    return !used && untouched && m_context.clock.now() - m_lastUse >= forgetAfter;
+    return !used && untouched && m_context.clock.now() - m_lastUse >= idleTimeout;
 }
 
 bool WorkspaceTokens::holdsShare() const
@@ -261,7 +262,7 @@
     return m_share != nullptr;
 }
 
-void WorkspaceTokens::forgetTokens()
+void WorkspaceTokens::dropTokens()
 {
     dropAll(base::ResultCode::RateExceeded);
 }
@@ -282,13 +283,13 @@
     status.revision = m_context.configuration ? m_context.configuration->revision() : 0;
     status.demand = m_requestedRate.perSecond(now);
     const Tokens inHand = m_lots.usable(now);
-    for (const ShareView &site : m_views) {
+    for (const ShareView &view : m_views) {
         ShareStatus share;
-        share.zone = site.zone;
-        share.holder = site.holder;
-        share.rate = site.rate / static_cast<double>(oneToken);
-        share.burst = wholeTokens(site.burst);
-        if (m_share && site.holder == m_context.self.vm) {
+        share.zone = view.zone;
+        share.holder = view.holder;
+        share.rate = view.rate / static_cast<double>(oneToken);
+        share.burst = wholeTokens(view.burst);
+        if (m_share && view.holder == m_context.self.vm) {
             share.held = m_context.tenure.mayGrant();
             share.level = wholeTokens(m_share->level());
             share.outstanding = wholeTokens(m_share->outstanding());
@@ -300,7 +301,7 @@
     return status;
 }
 
-/// Brings sites and share up to date with list, configuration, tenure and clock.
+/// Updates the shares from VM list, configuration, tenure and clock.
 void WorkspaceTokens::refresh()
 {
     const std::uint64_t topology = m_context.topology();
@@ -327,19 +328,19 @@
     m_rate = static_cast<double>(terms.ratePerSecond) * static_cast<double>(zones.size());
     std::uint64_t nearest = 0;
     for (const base::ZoneId &zone : zones) {
-        ShareView site;
-        site.zone = zone;
-        site.holder = holderOf(m_id, zone, m_context.list);
-        site.rate = static_cast<double>(terms.ratePerSecond);
-        site.burst = terms.burst;
+        ShareView view;
+        view.zone = zone;
+        view.holder = holderOf(m_id, zone, m_context.list);
+        view.rate = static_cast<double>(terms.ratePerSecond);
+        view.burst = terms.burst;
         const auto known = std::find_if(
-            before.begin(), before.end(), [&](const ShareView &old) { return old.holder == site.holder; });
+            before.begin(), before.end(), [&](const ShareView &old) { return old.holder == view.holder; });
         if (known != before.end()) {
-            site.level = known->level;
-            site.levelReceivedAt = known->levelReceivedAt;
-            site.busyUntil = known->busyUntil;
+            view.level = known->level;
+            view.levelReceivedAt = known->levelReceivedAt;
+            view.busyUntil = known->busyUntil;
         }
-        // Without a share in the own zone, each zone turns to another one, so that the load spreads.
+        // Without a share in the own zone, a hash selects the zone to ask, so that the load is distributed.
         const std::uint64_t weight = zone == m_context.self.zone
             ? UINT64_MAX
             : base::rendezvousWeight(m_context.self.zone.value(), zone.value());
@@ -347,7 +348,7 @@
             nearest = weight;
             m_ownView = m_views.size();
         }
-        m_views.push_back(site);
+        m_views.push_back(view);
     }
 }
 
@@ -372,7 +373,7 @@
     }
 }
 
-/// Makes, keeps or drops the share after a change. A share that was away meanwhile starts empty.
+/// Creates, keeps or removes the share after a change. A share that was not held in between starts empty.
 void WorkspaceTokens::updateShare(base::TimePoint now)
 {
     const auto held = m_context.tenure.heldSince(m_id);
@@ -396,12 +397,12 @@
 {
     m_share.reset();
     m_lots.clear();
-    forgetAsks([](const PendingAsk &) { return true; });
+    removeAsks([](const PendingAsk &) { return true; });
     refuseAll(code);
 }
 
 template<typename Condition>
-void WorkspaceTokens::forgetAsks(Condition condition)
+void WorkspaceTokens::removeAsks(Condition condition)
 {
     std::erase_if(m_asks, [&](const PendingAsk &ask) {
         const bool forgotten = condition(ask);
@@ -436,15 +437,17 @@
     return token;
 }
 
-/// Whether this node answers entries and borrows, instead of asking a holder.
+/// Whether this node answers entries and borrows tokens instead of asking a holder.
 bool WorkspaceTokens::isGatherer() const
 {
-    const bool asked = std::any_of(m_waiters.begin(), m_waiters.end(), [](const Waiter &need) { return need.remote; });
+    const bool asked
+        = std::any_of(m_waiters.begin(), m_waiters.end(), [](const Waiter &waiter) { return waiter.remote; });
     const bool first = m_ownView < m_views.size() && m_views[m_ownView].holder == m_context.self.vm;
     return asked || (first && !m_context.draining);
 }
 
-/// Serves who waits as far as the tokens go, asks for more where that may help, and refuses the others at once.
+/// Serves the waiters while tokens are available, asks for more where that may help, and otherwise refuses them at
+/// once.
 void WorkspaceTokens::serveWaiters()
 {
     while (!m_waiters.empty() && serveFirst()) {}
@@ -452,8 +455,8 @@
     if (m_waiters.empty()) {
         m_answeredShort = false;
         m_loanRounds = 0;
-        for (ShareView &site : m_views) {
-            site.unanswered = false;
+        for (ShareView &view : m_views) {
+            view.unanswered = false;
         }
         return;
     }
@@ -463,68 +466,68 @@
     }
 }
 
-/// Serves the one that waits longest, if the tokens suffice.
+/// Serves the oldest waiter if enough tokens are available. Returns whether it was served.
 bool WorkspaceTokens::serveFirst()
 {
-    const Waiter need = m_waiters.front();
-    if (available() < need.urgent) {
+    const Waiter waiter = m_waiters.front();
+    if (available() < waiter.urgent) {
         return false;
     }
     m_waiters.erase(m_waiters.begin());
-    if (!need.remote) {
+    if (!waiter.remote) {
         ++m_context.counters.admittedWaiting;
-        m_context.decisions.push_back(AdmissionDecision{need.request, Admitted{*takeToken()}});
+        m_context.decisions.push_back(AdmissionDecision{waiter.request, Admitted{*takeToken()}});
         return true;
     }
-    const Tokens extra = std::min(need.wanted - need.urgent, (available() - need.urgent) / extraDivisor);
-    m_requestedRate.add(wholeTokens(wholeOnly(extra)), m_context.clock.now());
-    answer(need, need.urgent + wholeOnly(extra));
+    const Tokens extra = std::min(waiter.wanted - waiter.urgent, (available() - waiter.urgent) / extraDivisor);
+    m_requestedRate.add(wholeTokens(roundDownToWhole(extra)), m_context.clock.now());
+    answer(waiter, waiter.urgent + roundDownToWhole(extra));
     return true;
 }
 
 void WorkspaceTokens::refuseAll(base::ResultCode code)
 {
-    const std::vector<Waiter> needs = std::exchange(m_waiters, {});
-    for (const Waiter &need : needs) {
-        refuse(need, code);
+    const std::vector<Waiter> waiters = std::exchange(m_waiters, {});
+    for (const Waiter &waiter : waiters) {
+        refuse(waiter, code);
     }
     m_answeredShort = false;
     m_loanRounds = 0;
 }
 
-void WorkspaceTokens::refuse(const Waiter &need, base::ResultCode code)
+void WorkspaceTokens::refuse(const Waiter &waiter, base::ResultCode code)
 {
     const base::TimePoint now = m_context.clock.now();
-    if (need.remote) {
-        const Tokens part = std::min(need.urgent, wholeOnly(available()));
-        m_refusedRate.add(wholeTokens(need.urgent - part), now);
-        answer(need, part);
+    if (waiter.remote) {
+        const Tokens part = std::min(waiter.urgent, roundDownToWhole(available()));
+        m_refusedRate.add(wholeTokens(waiter.urgent - part), now);
+        answer(waiter, part);
         return;
     }
     m_refusedRate.add(1, now);
-    const bool told = m_answeredShort && !isGatherer();
+    const bool holderAnswered = m_answeredShort && !isGatherer();
     m_receivedRetryAfter
-        = std::clamp(told ? m_receivedRetryAfter : retryAfter(), shortestRetryAfter, longestRetryAfter);
-    const base::Duration pause = isOverloaded() ? overloadPause : std::min(m_receivedRetryAfter, longestPause);
+        = std::clamp(holderAnswered ? m_receivedRetryAfter : retryAfter(), shortestRetryAfter, longestRetryAfter);
+    const base::Duration pause = isOverloaded() ? overloadPause : std::min(m_receivedRetryAfter, maxPause);
     m_refusedUntil = now + pause;
     m_context.counters.refusedUnanswered += m_answeredShort ? 0 : 1;
     m_context.decisions.push_back(
-        AdmissionDecision{need.request, Refused{code, std::max(m_receivedRetryAfter, pause)}});
-    VLOG(1) << "limits: Refused a request." << base::field("workspace", m_id) << base::field("request", need.request);
+        AdmissionDecision{waiter.request, Refused{code, std::max(m_receivedRetryAfter, pause)}});
+    VLOG(1) << "limits: Refused a request." << base::field("workspace", m_id) << base::field("request", waiter.request);
 }
 
 void WorkspaceTokens::refuseExpired()
 {
     const base::TimePoint now = m_context.clock.now();
     std::vector<Waiter> expired;
-    for (const Waiter &need : m_waiters) {
-        if (need.until <= now) {
-            expired.push_back(need);
+    for (const Waiter &waiter : m_waiters) {
+        if (waiter.until <= now) {
+            expired.push_back(waiter);
         }
     }
-    std::erase_if(m_waiters, [now](const Waiter &need) { return need.until <= now; });
-    for (const Waiter &need : expired) {
-        refuse(need, base::ResultCode::RateExceeded);
+    std::erase_if(m_waiters, [now](const Waiter &waiter) { return waiter.until <= now; });
+    for (const Waiter &waiter : expired) {
+        refuse(waiter, base::ResultCode::RateExceeded);
     }
 }
 
@@ -538,16 +541,16 @@
         borrow(missing, 0);
     } else {
         const double horizon = m_requestedRate.perSecond(m_context.clock.now()) * static_cast<double>(oneToken);
-        askEntryHolder(missing, wholeOnly(yield(horizon, m_context.settings.prefetch)));
+        askEntryHolder(missing, roundDownToWhole(tokensIn(horizon, m_context.settings.prefetch)));
     }
 }
 
-/// Tokens that are waited for, neither here nor asked for.
+/// Returns the tokens that waiters need and that are neither available nor asked for.
 Tokens WorkspaceTokens::uncovered() const
 {
     Tokens missing = -available();
-    for (const Waiter &need : m_waiters) {
-        missing += need.urgent;
+    for (const Waiter &waiter : m_waiters) {
+        missing += waiter.urgent;
     }
     for (const PendingAsk &ask : m_asks) {
         missing -= ask.timedOut ? 0 : ask.urgent;
@@ -562,40 +565,41 @@
     }
     for (std::size_t step = 0; step < m_views.size(); ++step) {
         const std::size_t index = (m_ownView + step) % m_views.size();
-        const ShareView &site = m_views[index];
-        const bool reachable = !site.holder.empty() && site.holder != m_context.self.vm;
-        if (reachable && !site.unanswered && !m_context.isSuspected(site.holder)) {
+        const ShareView &view = m_views[index];
+        const bool reachable = !view.holder.empty() && view.holder != m_context.self.vm;
+        if (reachable && !view.unanswered && !m_context.isSuspected(view.holder)) {
             send(index, urgent, urgent + extra, false);
             return;
         }
     }
-    // All are under suspicion: ask the first that these requests have not tried.
+    // All holders are suspected: ask the first one that has not failed to answer for these requests.
     for (std::size_t step = 0; step < m_views.size(); ++step) {
         const std::size_t index = (m_ownView + step) % m_views.size();
-        const ShareView &site = m_views[index];
-        if (!site.holder.empty() && site.holder != m_context.self.vm && !site.unanswered) {
+        const ShareView &view = m_views[index];
+        if (!view.holder.empty() && view.holder != m_context.self.vm && !view.unanswered) {
             send(index, urgent, urgent + extra, false);
             return;
         }
     }
 }
 
-/// Asks the other shares, those first that probably have most, and no more of them than needed.
+/// Asks the holders of the other shares for loans. Those with the highest expected levels are asked first, and for no
+/// more than needed if the expected levels suffice.
 void WorkspaceTokens::borrow(Tokens urgent, Tokens extra)
 {
-    if (m_loanRounds >= maxRounds) {
+    if (m_loanRounds >= maxLoanRounds) {
         return;
     }
     const base::TimePoint now = m_context.clock.now();
     std::vector<std::size_t> lenders;
     Tokens expected = 0;
     for (std::size_t index = 0; index < m_views.size(); ++index) {
-        const ShareView &site = m_views[index];
-        const bool reachable = !site.holder.empty() && site.holder != m_context.self.vm && !site.unanswered;
-        const bool promising = expectedLevel(site) >= crumb || now - site.levelReceivedAt >= staleAfter;
-        if (reachable && promising && now >= site.busyUntil && !m_context.isSuspected(site.holder)) {
+        const ShareView &view = m_views[index];
+        const bool reachable = !view.holder.empty() && view.holder != m_context.self.vm && !view.unanswered;
+        const bool mayHaveTokens = expectedLevel(view) >= minLoan || now - view.levelReceivedAt >= maxLevelAge;
+        if (reachable && mayHaveTokens && now >= view.busyUntil && !m_context.isSuspected(view.holder)) {
             lenders.push_back(index);
-            expected += expectedLevel(site);
+            expected += expectedLevel(view);
         }
     }
     std::sort(lenders.begin(), lenders.end(), [this](std::size_t a, std::size_t b) {
@@ -616,12 +620,12 @@
     }
 }
 
-void WorkspaceTokens::send(std::size_t site, Tokens urgent, Tokens wanted, bool loan)
+void WorkspaceTokens::send(std::size_t view, Tokens urgent, Tokens wanted, bool loan)
 {
     PendingAsk ask;
     ask.id = ++m_context.lastAsk;
-    ask.view = site;
-    ask.to = m_views[site].holder;
+    ask.view = view;
+    ask.to = m_views[view].holder;
     ask.urgent = urgent;
     ask.wanted = wanted;
     ask.loan = loan;
@@ -635,22 +639,22 @@
     ++m_context.counters.asksSent;
 }
 
-/// Asks before the tokens run out, so that the requests of a busy workspace wait for no round trip.
+/// Asks before the tokens run out, so that the requests of a busy workspace do not wait for a round trip.
 void WorkspaceTokens::prefetch()
 {
     if (m_views.empty() || hasOpenAsks() || isOverloaded()) {
         return;
     }
     const base::TimePoint now = m_context.clock.now();
-    const bool gatherer = isGatherer();
+    const bool gathering = isGatherer();
     const double demand = m_requestedRate.perSecond(now) * static_cast<double>(oneToken);
-    const double uncoveredDemand = gatherer ? demand - m_views[m_ownView].rate : demand;
-    const Tokens horizon = wholeOnly(yield(std::max(0.0, uncoveredDemand), m_context.settings.prefetch));
-    const Tokens low = yield(demand * prefetchRefill, m_context.settings.prefetch);
+    const double uncoveredDemand = gathering ? demand - m_views[m_ownView].rate : demand;
+    const Tokens horizon = roundDownToWhole(tokensIn(std::max(0.0, uncoveredDemand), m_context.settings.prefetch));
+    const Tokens low = tokensIn(demand * prefetchRefill, m_context.settings.prefetch);
     if (horizon < oneToken || available() >= low) {
         return;
     }
-    if (gatherer) {
+    if (gathering) {
         m_loanRounds = 0;
         borrow(0, horizon);
     } else {
@@ -663,24 +667,24 @@
     return std::any_of(m_asks.begin(), m_asks.end(), [](const PendingAsk &ask) { return !ask.timedOut; });
 }
 
-void WorkspaceTokens::answer(const Waiter &need, Tokens amount)
+void WorkspaceTokens::answer(const Waiter &waiter, Tokens amount)
 {
     GrantAnswer answer;
-    answer.askId = need.askId;
+    answer.askId = waiter.askId;
     const Tokens granted = grantParts(answer, amount);
     answer.level = ownLevel();
     answer.busy = isOverloaded();
     answer.reportWithin = reportWithin();
-    if (granted < need.urgent) {
+    if (granted < waiter.urgent) {
         answer.retryAfter = toMicroseconds(std::clamp(retryAfter(), shortestRetryAfter, longestRetryAfter));
     }
-    m_context.outbox.answer(need.from, need.incarnation, answer);
-    VLOG(1) << "limits: Granted tokens." << base::field("workspace", m_id) << base::field("to", need.from)
-            << base::field("amount", wholeTokens(granted)) << base::field("urgent", wholeTokens(need.urgent))
+    m_context.outbox.answer(waiter.from, waiter.incarnation, answer);
+    VLOG(1) << "limits: Granted tokens." << base::field("workspace", m_id) << base::field("to", waiter.from)
+            << base::field("amount", wholeTokens(granted)) << base::field("urgent", wholeTokens(waiter.urgent))
             << base::field("level", wholeTokens(answer.level));
 }
 
-/// Gives out loans before the own level, since they expire.
+/// Grants tokens of lots before those of the own level, because lots expire.
 Tokens WorkspaceTokens::grantParts(GrantAnswer &answer, Tokens amount)
 {
     const base::TimePoint now = m_context.clock.now();
@@ -711,8 +715,8 @@
 {
     const base::TimePoint now = m_context.clock.now();
     Tokens spare = isOverloaded() ? 0 : ownLevel();
-    for (const Waiter &need : m_waiters) {
-        spare -= need.urgent;
+    for (const Waiter &waiter : m_waiters) {
+        spare -= waiter.urgent;
     }
     const Tokens urgent = std::clamp<Tokens>(spare, 0, ask.urgent);
     const Tokens extra = std::min(ask.wanted - urgent, std::max<Tokens>(0, spare - urgent) / extraDivisor);
@@ -734,53 +738,53 @@
             << base::field("amount", wholeTokens(amount)) << base::field("level", wholeTokens(answer.level));
 }
 
-/// A grant takes its place in the burst until it is reported. Where the share would fill meanwhile, reports must come
-/// soon, or part of the rate is lost.
+/// Returns the time within which spends must be reported. A grant occupies its part of the burst until it is reported.
+/// If the share would fill up meanwhile, late reports cost part of the rate.
 std::uint32_t WorkspaceTokens::reportWithin() const
 {
     if (m_ownView >= m_views.size() || m_views[m_ownView].rate <= 0) {
         return 0;
     }
-    const ShareView &site = m_views[m_ownView];
-    const std::chrono::duration<double> fill(static_cast<double>(site.burst) / site.rate);
-    if (fill >= slowFill * m_context.settings.grantValidity) {
+    const ShareView &view = m_views[m_ownView];
+    const std::chrono::duration<double> fill(static_cast<double>(view.burst) / view.rate);
+    if (fill >= slowFillValidities * m_context.settings.grantValidity) {
         return 0;
     }
-    const auto part = std::chrono::duration_cast<base::Duration>(fill / settleDivisor);
-    return toMicroseconds(std::clamp(part, shortestRetryAfter, longestSettle));
+    const auto part = std::chrono::duration_cast<base::Duration>(fill / reportDivisor);
+    return toMicroseconds(std::clamp(part, shortestRetryAfter, maxReportDelay));
 }
 
-/// What the share of `site` probably has now.
-Tokens WorkspaceTokens::expectedLevel(const ShareView &site) const
+/// Returns the estimated current level of a share.
+Tokens WorkspaceTokens::expectedLevel(const ShareView &view) const
 {
     const base::Duration age
-        = std::min<base::Duration>(m_context.clock.now() - site.levelReceivedAt, longestRetryAfter);
-    return std::min(site.burst, site.level + yield(site.rate, age));
+        = std::min<base::Duration>(m_context.clock.now() - view.levelReceivedAt, longestRetryAfter);
+    return std::min(view.burst, view.level + tokensIn(view.rate, age));
 }
 
-/// When the shares together will have made a token, as far as is known here.
+/// Returns the estimated time until the shares together have a whole token.
 base::Duration WorkspaceTokens::retryAfter() const
 {
-    Tokens together = available();
-    for (const ShareView &site : m_views) {
-        if (site.holder != m_context.self.vm && m_context.clock.now() >= site.busyUntil) {
-            together += expectedLevel(site);
+    Tokens total = available();
+    for (const ShareView &view : m_views) {
+        if (view.holder != m_context.self.vm && m_context.clock.now() >= view.busyUntil) {
+            total += expectedLevel(view);
         }
     }
-    if (together >= oneToken || m_rate <= 0) {
-        return m_rate <= 0 ? longestRetryAfter : crowdedRetryAfter;
+    if (total >= oneToken || m_rate <= 0) {
+        return m_rate <= 0 ? longestRetryAfter : defaultRetryAfter;
     }
-    const double seconds = static_cast<double>(oneToken - together) / m_rate;
+    const double seconds = static_cast<double>(oneToken - total) / m_rate;
     const double longest = std::chrono::duration<double>(longestRetryAfter).count();
     return std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(std::min(seconds, longest)));
 }
 
-/// The workspace sends so much more than it may that asking for each request would be in vain.
+/// Whether so many tokens of the workspace are refused that asking for each request would be useless.
 bool WorkspaceTokens::isOverloaded() const
 {
     const base::TimePoint now = m_context.clock.now();
-    const double failed = m_refusedRate.perSecond(now);
-    return failed >= overloadEvents && failed >= overloadFraction * m_requestedRate.perSecond(now);
+    const double refused = m_refusedRate.perSecond(now);
+    return refused >= overloadEvents && refused >= overloadFraction * m_requestedRate.perSecond(now);
 }
 
 }
--- a/src/limits/zonetenure.cpp
+++ b/src/limits/zonetenure.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr std::size_t maxWitnesses = 7;
-constexpr std::size_t maxRemembered = 256;
-constexpr base::Duration askAgainAfter = std::chrono::milliseconds(200);
-constexpr std::string_view witnessTopic = "witnesses of the zone";
+constexpr std::size_t maxChanges = 256;
+constexpr base::Duration queryTimeout = std::chrono::milliseconds(200);
+constexpr std::string_view witnessHashKey = "witnesses of the zone";
 
 std::uint64_t hashOf(const std::vector<base::VmId> &members)
 {
@@ -41,16 +41,16 @@
     , m_clock(clock)
     , m_settings(settings)
     , m_unchangedSince(clock.now())
-    , m_withoutProofSince(clock.now())
+    , m_resetAt(clock.now())
 {
 }
 
-void ZoneTenure::applyList(const config::VmList &list, base::TimePoint heardAt)
+void ZoneTenure::applyList(const config::VmList &list, base::TimePoint requestedAt)
 {
     if (list.version < m_version) {
         return;
     }
-    // An unseen list in between may have given the shares to somebody else for a while.
+    // A skipped list version may have assigned the shares to another VM for a while.
     const bool skipped = list.version > m_version + 1;
     if (list.version > m_version) {
         std::vector<base::VmId> members;
@@ -73,7 +73,7 @@
         m_lapsed = true;
     }
     if (!m_lapsed && !isSuperseded()) {
-        m_provenAt = std::max(m_provenAt, std::min(heardAt, now));
+        m_provenAt = std::max(m_provenAt, std::min(requestedAt, now));
     }
 }
 
@@ -83,9 +83,10 @@
     if (!m_lapsed && !hasFreshProof(now)) {
         m_lapsed = true;
         ++m_lapses;
-        PAPAYASTEP_LOG(INFO, "limits") << "Stopped granting for want of proof." << base::field("vm", m_self.vm);
+        PAPAYASTEP_LOG(INFO, "limits") << "Stopped granting because the proof of being the holder expired."
+                                       << base::field("vm", m_self.vm);
     }
-    if (m_lapsed && isListed() && (!m_round.open || now - m_round.askedAt >= askAgainAfter)) {
+    if (m_lapsed && isListed() && (!m_round.open || now - m_round.askedAt >= queryTimeout)) {
         ask();
     }
     return !m_lapsed && isListed() && !isSuperseded();
@@ -96,15 +97,15 @@
     if (!m_heldSince || !isListed()) {
         return std::nullopt;
     }
-    const std::uint64_t mine = base::rendezvousWeight(workspace.value(), m_self.vm.value());
+    const std::uint64_t ownWeight = base::rendezvousWeight(workspace.value(), m_self.vm.value());
     for (const base::VmId &vm : m_members) {
-        if (base::rendezvousWeight(workspace.value(), vm.value()) > mine) {
+        if (base::rendezvousWeight(workspace.value(), vm.value()) > ownWeight) {
             return std::nullopt;
         }
     }
     base::TimePoint since = *m_heldSince;
     for (const auto &[vm, index] : m_removed) {
-        if (base::rendezvousWeight(workspace.value(), vm.value()) < mine) {
+        if (base::rendezvousWeight(workspace.value(), vm.value()) < ownWeight) {
             continue;
         }
         if (!m_changes[index].confirmedAt) {
@@ -155,22 +156,22 @@
 void ZoneTenure::restart()
 {
     ++m_term;
-    m_withoutProofSince = m_clock.now();
+    m_resetAt = m_clock.now();
     m_proven = false;
     m_lapsed = true;
     m_heldSince.reset();
     m_changes.clear();
     m_removed.clear();
-    m_round = QueryRound{m_round.number, m_withoutProofSince, {}, base::Duration::max(), false};
+    m_round = QueryRound{m_round.number, m_resetAt, {}, base::Duration::max(), false};
 }
 
 void ZoneTenure::tick()
 {
     const base::TimePoint now = m_clock.now();
-    const bool unsettled = !m_heldSince || (!m_changes.empty() && !m_changes.back().confirmedAt);
+    const bool unconfirmed = !m_heldSince || (!m_changes.empty() && !m_changes.back().confirmedAt);
     const bool old = now - m_provenAt >= m_settings.evidenceLifetime / 2;
-    const bool waiting = m_round.open && now - m_round.askedAt < askAgainAfter;
-    if (isListed() && !waiting && (unsettled || m_lapsed || old)) {
+    const bool waiting = m_round.open && now - m_round.askedAt < queryTimeout;
+    if (isListed() && !waiting && (unconfirmed || m_lapsed || old)) {
         ask();
     }
 }
@@ -180,15 +181,15 @@
     if (!isListed()) {
         return std::nullopt;
     }
-    const bool unsettled = !m_heldSince || (!m_changes.empty() && !m_changes.back().confirmedAt);
-    if (unsettled || (active && m_lapsed)) {
-        return m_round.open ? m_round.askedAt + askAgainAfter : m_clock.now();
+    const bool unconfirmed = !m_heldSince || (!m_changes.empty() && !m_changes.back().confirmedAt);
+    if (unconfirmed || (active && m_lapsed)) {
+        return m_round.open ? m_round.askedAt + queryTimeout : m_clock.now();
     }
     if (!active) {
         return std::nullopt;
     }
     const base::TimePoint renewal = m_provenAt + m_settings.evidenceLifetime / 2;
-    return m_round.open ? std::max(renewal, m_round.askedAt + askAgainAfter) : renewal;
+    return m_round.open ? std::max(renewal, m_round.askedAt + queryTimeout) : renewal;
 }
 
 std::vector<wire::Outgoing> ZoneTenure::takeMessages()
@@ -206,7 +207,7 @@
     return std::binary_search(m_members.begin(), m_members.end(), m_self.vm);
 }
 
-/// A newer list with other VMs in the zone is known to exist, but not held yet.
+/// Whether a newer list with other VMs in the zone is known to exist but has not been received yet.
 bool ZoneTenure::isSuperseded() const
 {
     return m_knownVersion > m_version && m_knownHash != m_membersHash;
@@ -236,7 +237,7 @@
     m_membersHash = hashOf(m_members);
     chooseWitnesses();
     m_round.open = false;
-    if (!wasListed || !isListed() || m_changes.size() >= maxRemembered) {
+    if (!wasListed || !isListed() || m_changes.size() >= maxChanges) {
         restart();
         return;
     }
@@ -252,12 +253,12 @@
 {
     m_witnesses = m_members;
     std::sort(m_witnesses.begin(), m_witnesses.end(), [](const base::VmId &a, const base::VmId &b) {
-        return base::rendezvousWeight(witnessTopic, a.value()) > base::rendezvousWeight(witnessTopic, b.value());
+        return base::rendezvousWeight(witnessHashKey, a.value()) > base::rendezvousWeight(witnessHashKey, b.value());
     });
     m_witnesses.resize(std::min(m_witnesses.size(), maxWitnesses));
 }
 
-/// Twice the quorum exceeds the witnesses before and after a change of two of them, taken together.
+/// Twice the quorum exceeds the number of different witnesses before and after a change of two of them.
 std::size_t ZoneTenure::quorum() const
 {
     return std::min(m_witnesses.size(), m_witnesses.size() / 2 + 2);
@@ -284,20 +285,20 @@
     }
     const base::TimePoint now = m_clock.now();
     const std::size_t others = m_round.agreed.size() - m_round.agreed.count(m_self.vm);
-    // The own word counts nothing for a time of which this process knows nothing.
+    // The own vote does not count for a time about which this process has no information.
     const bool othersSuffice
         = m_members.size() == 1 ? m_heldSince.has_value() : others >= std::min(quorum(), m_members.size() - 1);
-    const base::Duration away = now - m_withoutProofSince;
+    const base::Duration timeSinceReset = now - m_resetAt;
     if (!m_heldSince) {
-        const bool nobodyStoodIn = othersSuffice && m_round.unchangedFor >= away + takeoverDelay();
-        m_heldSince = nobodyStoodIn ? m_withoutProofSince + surelyExpired(m_settings, m_settings.grantValidity)
-                                    : now + takeoverDelay();
-        PAPAYASTEP_LOG(INFO, "limits") << "Settled as holder." << base::field("vm", m_self.vm)
-                                       << base::field("list", m_version) << base::field("guarded", !nobodyStoodIn);
+        const bool noOtherHolder = othersSuffice && m_round.unchangedFor >= timeSinceReset + takeoverDelay();
+        m_heldSince
+            = noOtherHolder ? m_resetAt + surelyExpired(m_settings, m_settings.grantValidity) : now + takeoverDelay();
+        PAPAYASTEP_LOG(INFO, "limits") << "Became ready to hold shares." << base::field("vm", m_self.vm)
+                                       << base::field("list", m_version) << base::field("guarded", !noOtherHolder);
     } else if (m_lapsed && m_proven) {
-        // Nobody can have stood in if the witnesses saw no change since well before the last proof.
-        const bool nobodyStoodIn = othersSuffice && m_round.unchangedFor >= now - m_provenAt + takeoverDelay();
-        if (!nobodyStoodIn) {
+        // No other VM can have held the shares if the witnesses saw no change since well before the last proof.
+        const bool noOtherHolder = othersSuffice && m_round.unchangedFor >= now - m_provenAt + takeoverDelay();
+        if (!noOtherHolder) {
             restart();
             m_heldSince = now + takeoverDelay();
         }
@@ -320,7 +321,7 @@
 
 base::Duration ZoneTenure::takeoverDelay() const
 {
-    // The proof runs out on one clock, the grants made on it on another.
+    // The proof expires by one clock, the grants made under it by another.
     return surelyExpired(m_settings, m_settings.evidenceLifetime) + surelyExpired(m_settings, m_settings.grantValidity);
 }
 
--- a/src/limits/zonetenure.h
+++ b/src/limits/zonetenure.h
@@ -12,65 +12,66 @@
 
 namespace papayastep::limits {
 
-/// How long this node must wait until something has run out for another node whose clock may be slow or have stood
-/// still, and which began to count no later than this node.
+/// Returns the time after which `lifetime` has certainly expired on another node that started to count no later than
+/// this node, even if the clock there is slow or has stopped for up to `clockStopBound`.
 base::Duration surelyExpired(const BrokerSettings &settings, base::Duration lifetime);
 
-/// Whether this VM may act as holder of shares of its zone, and since when.
+/// Decides whether this VM may act as holder of shares of its zone, and since when.
 ///
-/// What goes wrong without it: two VMs believe in different VM lists and both grant the tokens of one share, and a
-/// workspace gets twice its rate. So a holder needs *proof* no older than the evidence lifetime: a list just read
-/// from the platform, or a quorum of witnesses (VMs of its zone, chosen by hash) that know of no newer list with
-/// other VMs in the zone. A VM that takes a share over needs a quorum of witnesses that know its list, and then
-/// waits until the proofs of the one before have run out, and the grants made on them. Quorums are so large that
-/// those before and after a change of two VMs have a witness in common.
+/// It prevents two VMs with different VM lists from both granting the tokens of one share, which would give a workspace
+/// twice its rate. A holder needs *proof* no older than the evidence lifetime: a list just read from the platform, or a
+/// quorum of witnesses (VMs of its zone, chosen by hash) that know of no newer list with other VMs in the zone. A VM
+/// that takes over a share needs a quorum of witnesses that know its list, and then waits until the proof of the
+/// previous holder and the grants made under it have expired. Quorums are so large that those before and after a change
+/// of two VMs have a witness in common.
 class ZoneTenure
 {
 public:
     ZoneTenure(const NodeIdentity &self, const base::Clock &clock, const BrokerSettings &settings);
 
-    /// A newer list, or the one in force read again. `heardAt`: when the platform was asked.
-    void applyList(const config::VmList &list, base::TimePoint heardAt);
+    /// Applies a newer list, or the current one read again. `requestedAt` is the time at which the platform was asked.
+    void applyList(const config::VmList &list, base::TimePoint requestedAt);
 
-    /// Whether proof is fresh. Asks the witnesses if it runs out.
+    /// Whether the proof is fresh. Queries the witnesses if it has expired.
     bool mayGrant();
 
-    /// Since when this VM alone could grant the share of `workspace`, a time that may lie ahead. Nothing if another VM
-    /// of the zone holds it, or if that is not settled yet.
+    /// Time since which only this VM can grant the share of `workspace`; it may lie ahead. Returns nullopt if another
+    /// VM of the zone holds the share, or if that is not confirmed yet.
     std::optional<base::TimePoint> heldSince(const base::WorkspaceId &workspace) const;
 
-    /// Whether the wait after a start or a lapse is over, so that this VM holds what the list gives it.
+    /// Whether the wait after a start or a restart is over, so that this VM holds the shares that the list assigns to
+    /// it.
     bool isReady() const;
 
-    /// Rises when all that was held before must be forgotten.
+    /// Number that rises when all shares and grants held before become invalid.
     std::uint64_t term() const;
 
     void receive(const base::VmId &from, base::Incarnation incarnation, const TenureQuery &query);
     void receive(const base::VmId &from, const TenureAnswer &answer);
 
-    /// The process was not running, or its clock stood still: the same as a restart.
+    /// Resets the state as after a restart. Called if the process was not running or its clock had stopped.
     void restart();
 
     void tick();
-    /// `active`: shares are in use, so proof is renewed before it runs out.
+    /// If `active`, shares are in use and the proof is renewed before it expires.
     std::optional<base::TimePoint> nextTick(bool active) const;
     std::vector<wire::Outgoing> takeMessages();
 
     std::uint64_t lapses() const;
 
 private:
-    /// A change of the zone's VMs that has been seen.
+    /// A detected change of the VMs of the zone.
     struct Change
     {
         base::TimePoint detectedAt;
-        std::optional<base::TimePoint> confirmedAt; ///< When a quorum of witnesses knew of it.
+        std::optional<base::TimePoint> confirmedAt; ///< Time at which a quorum of witnesses knew of the change.
     };
     struct QueryRound
     {
         std::uint64_t number = 0;
         base::TimePoint askedAt;
         std::set<base::VmId> agreed;
-        base::Duration unchangedFor = base::Duration::max(); ///< The shortest of the answers.
+        base::Duration unchangedFor = base::Duration::max(); ///< Shortest value in the answers.
         bool open = false;
     };
 
@@ -93,16 +94,18 @@
     std::vector<base::VmId> m_witnesses;
     std::uint64_t m_version = 0;
     std::uint64_t m_membersHash = 0;
-    std::uint64_t m_knownVersion = 0; ///< The newest list heard of, perhaps not held.
+    std::uint64_t m_knownVersion = 0; ///< Newest list that this VM knows of; it may not have received that list yet.
     std::uint64_t m_knownHash = 0;
     base::TimePoint m_unchangedSince;
-    base::TimePoint m_withoutProofSince; ///< Start of the process, or of the time without proof.
+    base::TimePoint m_resetAt; ///< Start of the process, or time of the last restart().
     base::TimePoint m_provenAt;
-    bool m_proven = false; ///< m_provenAt is set.
-    bool m_lapsed = true; ///< Proof ran out; only a quorum can end it.
-    std::optional<base::TimePoint> m_heldSince; ///< Nothing is held before it. Empty: the start is not settled.
+    bool m_proven = false; ///< Whether m_provenAt is set.
+    bool m_lapsed = true; ///< The proof has expired. Only a quorum of witnesses can renew it.
+    /// Time before which no share is held; nullopt until a quorum of witnesses has answered after a start.
+    std::optional<base::TimePoint> m_heldSince;
     std::vector<Change> m_changes;
-    std::map<base::VmId, std::size_t> m_removed; ///< VM that left the zone -> index in m_changes.
+    /// Maps a VM that left the zone to the index of its change in m_changes.
+    std::map<base::VmId, std::size_t> m_removed;
     QueryRound m_round;
     std::uint64_t m_term = 0;
     std::uint64_t m_lapses = 0;
