--- a/src/include/papayastep/node/attempt.h
+++ b/src/include/papayastep/node/attempt.h
@@ -39,10 +39,10 @@
     const base::VmId &vm() const;
     base::TimePoint startedAt() const;
     bool acknowledged() const;
-    bool suspect() const; ///< Its serving node says that it seems to hang.
+    bool reportedHanging() const; ///< Its serving node says that it seems to hang.
     bool finished() const; ///< answer() is there, or the link failed.
-    bool linkFailed() const; ///< No valid answer came over the hop.
-    bool neverSent() const; ///< With linkFailed(): not a byte was written.
+    bool hopFailed() const; ///< No valid answer came over the hop.
+    bool neverSent() const; ///< With hopFailed(): not a byte was written.
     std::optional<routing::CancelAnswer> cancelAnswer() const;
     ServedAnswer &answer();
 
@@ -53,13 +53,13 @@
     wire::HopRequest m_hop;
     base::VmId m_vm;
     base::TimePoint m_startedAt;
-    std::function<void()> m_changed;
+    std::function<void()> m_onChange;
     ServedAnswer m_answer;
     std::optional<routing::CancelAnswer> m_cancelAnswer;
     bool m_acknowledged = false;
-    bool m_suspect = false;
+    bool m_reportedHanging = false;
     bool m_finished = false;
-    bool m_linkFailed = false;
+    bool m_hopFailed = false;
     bool m_neverSent = false;
 };
 
@@ -92,11 +92,11 @@
 private:
     net::Awaitable<void> run(net::ClientRequest request);
     void readAnswer();
-    void endHop(health::HopOutcome outcome);
+    void reportHopEnd(health::HopOutcome outcome);
 
     std::shared_ptr<net::HttpExchange> m_exchange;
     bool m_abandoned = false;
-    bool m_hopEnded = false;
+    bool m_hopEndReported = false;
 };
 
 }
--- a/src/include/papayastep/node/backendprotocol.h
+++ b/src/include/papayastep/node/backendprotocol.h
@@ -20,7 +20,7 @@
 };
 
 /// What the head of an answer proves.
-enum class AnswerVerdict {
+enum class AnswerKind {
     Answered, ///< The server's answer to this request.
     NotRun, ///< The server says that it did not run the request and will not.
     OtherServer, ///< As NotRun; the address belongs to another server by now.
@@ -47,22 +47,22 @@
     /// Sets what only the system may set, whatever stood there.
     virtual void prepare(net::RequestHead &head, const BackendCall &call) const = 0;
 
-    virtual AnswerVerdict judge(const net::ResponseHead &answer, const net::RequestHead &request) const = 0;
+    virtual AnswerKind classify(const net::ResponseHead &answer, const net::RequestHead &request) const = 0;
 
     /// Nothing where the server does not tell.
-    virtual std::optional<ServerLoad> load(const net::ResponseHead &answer) const = 0;
+    virtual std::optional<ServerLoad> reportedLoad(const net::ResponseHead &answer) const = 0;
 
     /// Whether the answer to a probe of the health endpoint of `server` says that it is well.
     virtual bool isHealthy(const net::ResponseHead &answer, const base::BackendServerId &server) const = 0;
 };
 
 /// The interface of papayastep itself (docs/CALLERS.md).
-class OwnBackendProtocol final : public BackendProtocol
+class NativeBackendProtocol final : public BackendProtocol
 {
 public:
     void prepare(net::RequestHead &head, const BackendCall &call) const override;
-    AnswerVerdict judge(const net::ResponseHead &answer, const net::RequestHead &request) const override;
-    std::optional<ServerLoad> load(const net::ResponseHead &answer) const override;
+    AnswerKind classify(const net::ResponseHead &answer, const net::RequestHead &request) const override;
+    std::optional<ServerLoad> reportedLoad(const net::ResponseHead &answer) const override;
     bool isHealthy(const net::ResponseHead &answer, const base::BackendServerId &server) const override;
 };
 
--- a/src/include/papayastep/node/callerprotocol.h
+++ b/src/include/papayastep/node/callerprotocol.h
@@ -14,7 +14,7 @@
 {
     std::string key; ///< Empty: none.
     std::string id; ///< The caller's own name for the request, for logs and answers. Empty: none.
-    std::optional<base::Duration> patience; ///< How long the caller will wait; absent: as long as the route says.
+    std::optional<base::Duration> timeout; ///< How long the caller will wait; absent: as long as the route says.
     std::string idempotencyKey; ///< Empty: none.
 };
 
@@ -47,7 +47,7 @@
 };
 
 /// The interface of papayastep itself (docs/CALLERS.md).
-class OwnCallerProtocol final : public CallerProtocol
+class NativeCallerProtocol final : public CallerProtocol
 {
 public:
     CallerRequest read(const net::RequestHead &head) const override;
--- a/src/include/papayastep/node/candidates.h
+++ b/src/include/papayastep/node/candidates.h
@@ -11,6 +11,6 @@
 std::vector<routing::Candidate> candidatesOf(const NodeContext &context, const base::ServiceId &service);
 
 /// The median of the known latencies; 0 where none is known.
-base::Duration typicalLatency(const std::vector<routing::Candidate> &candidates);
+base::Duration medianLatency(const std::vector<routing::Candidate> &candidates);
 
 }
--- a/src/include/papayastep/node/configurationkeeper.h
+++ b/src/include/papayastep/node/configurationfetcher.h
@@ -9,22 +9,22 @@
 
 /// Does the platform calls that membership::ConfigSpread decides on. Two loops, one for the configuration and one
 /// for the VM list, so that a waiting watch of the one does not hold up the other.
-class ConfigurationKeeper
+class ConfigurationFetcher
 {
 public:
-    ConfigurationKeeper(NodeContext &context, membership::ConfigSpread &spread, net::PlatformClient &platform);
+    ConfigurationFetcher(NodeContext &context, membership::ConfigSpread &spread, net::PlatformClient &platform);
 
     /// Starts both loops.
     void start();
     /// Without the VM list: that is made from the directory of backend servers.
-    void startConfiguration();
+    void startConfigurationOnly();
     void stop();
 
     /// The decisions may have changed: look at them again.
     void wake();
 
     /// When the platform last named the VM list in force, by when it was asked.
-    base::TimePoint vmListAskedAt() const;
+    base::TimePoint vmListRequestedAt() const;
 
 private:
     net::Awaitable<void> configurationLoop();
@@ -37,7 +37,7 @@
     net::PlatformClient &m_platform;
     net::Signal m_configurationChanged;
     net::Signal m_vmListChanged;
-    base::TimePoint m_vmListAskedAt;
+    base::TimePoint m_vmListRequestedAt;
     bool m_stopped = false;
 };
 
--- a/src/include/papayastep/node/directorykeeper.h
+++ b/src/include/papayastep/node/directoryupdater.h
@@ -13,10 +13,10 @@
 
 /// Keeps membership::ServerDirectory up to date: lists once, then watches, or lets the readers of a
 /// membership::DirectoryRelay tell; lists again when the platform has forgotten the changes in between.
-class DirectoryKeeper
+class DirectoryUpdater
 {
 public:
-    DirectoryKeeper(NodeContext &context, membership::ServerDirectory &directory, net::ServerSource &source);
+    DirectoryUpdater(NodeContext &context, membership::ServerDirectory &directory, net::ServerSource &source);
 
     /// `answered` is called after each answer, with the newest published revision and whether the servers changed.
     void start(std::function<void(base::Revision published, bool changed)> answered);
@@ -27,26 +27,26 @@
     /// What a reader says.
     void receive(const membership::DirectoryNews &message);
     /// Passes on what is due. Call after nextTick().
-    void sendNews();
+    void sendUpdates();
     std::optional<base::TimePoint> nextTick() const;
 
     /// When the platform was last asked for an answer that came.
-    base::TimePoint askedAt() const;
+    base::TimePoint lastRequestedAt() const;
 
 private:
     net::Awaitable<void> loop();
     net::Awaitable<void> readOnce();
     bool isCovered() const;
-    void askForRevision();
+    void requestMissingRevision();
     net::Awaitable<void> pause(base::Duration duration);
 
     NodeContext &m_context;
     membership::ServerDirectory &m_directory;
     net::ServerSource &m_source;
-    std::function<void(base::Revision, bool)> m_answered;
+    std::function<void(base::Revision, bool)> m_onAnswer;
     membership::DirectoryRelay m_relay;
     membership::DirectorySchedule m_schedule;
-    base::TimePoint m_askedAt;
+    base::TimePoint m_lastRequestedAt;
     membership::RevisionPatience m_revisionPatience; ///< With what readers tell of.
     bool m_stopped = false;
 };
--- a/src/include/papayastep/node/entryhandler.h
+++ b/src/include/papayastep/node/entryhandler.h
@@ -26,21 +26,22 @@
     /// The ledger's home has the end of this request.
     void deliver(const base::RequestId &recorded);
     /// `proven` says what an answer of the sending process proves about an attempt that was sent at the time given.
-    using Proof = std::function<routing::CancelAnswer(routing::CancelAnswer answer, base::TimePoint sentAt)>;
-    void deliver(const wire::CancelResult &result, const Proof &proven);
+    using CancelAnswerVerifier
+        = std::function<routing::CancelAnswer(routing::CancelAnswer answer, base::TimePoint sentAt)>;
+    void deliver(const wire::CancelResult &result, const CancelAnswerVerifier &proven);
     void deliver(const wire::SlotOffer &offer);
 
     /// Ends all open requests as if their deadlines had passed, so that each caller gets an answer.
     void expireAll();
 
-    std::size_t open() const;
+    std::size_t openRequests() const;
 
 private:
     friend class EntryRequest;
 
     NodeContext &m_context;
     ServingNode &m_serving;
-    std::unordered_map<base::RequestId, EntryRequest *> m_open;
+    std::unordered_map<base::RequestId, EntryRequest *> m_openRequests;
 };
 
 }
--- a/src/include/papayastep/node/hophandler.h
+++ b/src/include/papayastep/node/hophandler.h
@@ -18,7 +18,7 @@
 
 private:
     net::Awaitable<bool> authenticate(net::ServerExchange &exchange, wire::HopRequest &hop, std::string &body);
-    net::Awaitable<void> pass(net::ServerExchange &exchange, ServedAnswer answer);
+    net::Awaitable<void> forwardAnswer(net::ServerExchange &exchange, ServedAnswer answer);
 
     NodeContext &m_context;
     ServingNode &m_serving;
--- a/src/include/papayastep/node/interfaces.h
+++ b/src/include/papayastep/node/interfaces.h
@@ -22,6 +22,6 @@
 };
 
 /// The interfaces of papayastep itself.
-Interfaces ownInterfaces(net::asio::io_context &io, const base::Clock &clock, const NodeSettings &settings);
+Interfaces nativeInterfaces(net::asio::io_context &io, const base::Clock &clock, const NodeSettings &settings);
 
 }
--- a/src/include/papayastep/node/metricfamily.h
+++ b/src/include/papayastep/node/metricfamily.h
@@ -26,7 +26,7 @@
 
     /// The series with these label values, in the order of the names; made at its first use with `arguments`.
     template<typename... Arguments>
-    Metric &of(std::initializer_list<std::string_view> values, Arguments &&...arguments)
+    Metric &withLabels(std::initializer_list<std::string_view> values, Arguments &&...arguments)
     {
         m_key.clear();
         for (const std::string_view value : values) {
--- a/src/include/papayastep/node/metrics.h
+++ b/src/include/papayastep/node/metrics.h
@@ -25,7 +25,7 @@
     bool idempotent = false;
     std::string_view outcome; ///< One of those below, or the name of a routing::Outcome.
     base::ResultCode code = base::ResultCode::Ok; ///< Of a refusal.
-    base::Duration took{};
+    base::Duration duration{};
 
     // Outcomes beside those of a refusal.
 
@@ -41,7 +41,7 @@
 {
     base::ServiceId service;
     std::string_view outcome; ///< Name of a health::AttemptOutcome.
-    base::Duration held{}; ///< How long it held a slot of the server.
+    base::Duration slotHeldTime{}; ///< How long it held a slot of the server.
 
     auto operator<=>(const ServedAttempt &) const = default;
 };
@@ -84,11 +84,11 @@
 
     // What other parts keep, read just before each scrape.
 
-    void set(const std::string &name, double value, const Labels &labels = {});
+    void setGauge(const std::string &name, double value, const Labels &labels = {});
     /// A running total since the start; its name gets the ending `_total`.
     void setTotal(const std::string &name, double value, const Labels &labels = {});
     /// Drops the series of a gauge, so that those of services that are gone do not stay.
-    void clear(const std::string &name);
+    void clearGauge(const std::string &name);
 
     /// `service` as a label: the service itself, or `other` for those that came when there were many already, or
     /// `none`.
--- a/src/include/papayastep/node/node.h
+++ b/src/include/papayastep/node/node.h
@@ -4,14 +4,14 @@
 #include "papayastep/base/statechart.h"
 #include "papayastep/membership/vmroster.h"
 #include "papayastep/node/adminhandler.h"
-#include "papayastep/node/configurationkeeper.h"
-#include "papayastep/node/directorykeeper.h"
+#include "papayastep/node/configurationfetcher.h"
+#include "papayastep/node/directoryupdater.h"
 #include "papayastep/node/entryhandler.h"
 #include "papayastep/node/hophandler.h"
-#include "papayastep/node/peerlink.h"
+#include "papayastep/node/peermessenger.h"
 #include "papayastep/node/prober.h"
 #include "papayastep/node/servingnode.h"
-#include "papayastep/node/settingskeeper.h"
+#include "papayastep/node/settingsreloader.h"
 #include "papayastep/routing/processtable.h"
 
 #include <boost/asio/thread_pool.hpp>
@@ -22,7 +22,7 @@
 
 /// The life of a node, as src/node/node.json draws it.
 enum class NodeState { Starting, Serving, Draining, Stopped };
-enum class NodeEvent { Configured, StopRequested, Drained, PatienceEnded };
+enum class NodeEvent { Configured, StopRequested, Drained, DrainTimedOut };
 
 /// A whole node: joins the deciding packages with sockets and timers. One thread.
 class Node
@@ -31,7 +31,7 @@
     /// Listens at once. Throws Error (2004, 7001).
     Node(net::asio::io_context &io,
          const base::Clock &clock,
-         SettingsKeeper settingsKeeper,
+         SettingsReloader settingsReloader,
          NodeSettings settings,
          Interfaces interfaces,
          base::LogOutput &log,
@@ -53,12 +53,12 @@
     void handleCancel(const wire::Envelope &envelope);
     void sendAll(const std::vector<wire::Outgoing> &messages);
     void countHealthEvents();
-    void rereadSettings();
-    void logFoldedRefusals();
+    void reloadSettings();
+    void logRefusalSummaries();
     void applyRetryLimit();
     void startBuild();
     void applyConfiguration(const membership::Accepted &accepted);
-    void putInForce();
+    void activateConfiguration();
     void applyVmList();
     void applyDirectory();
     void applyCallerLimits();
@@ -67,10 +67,10 @@
     void sweep();
     base::TimePoint nextTick();
     net::Awaitable<void> tickLoop();
-    net::Awaitable<void> drain();
+    net::Awaitable<void> drainAndStop();
     net::Awaitable<void> finishRequests();
     net::Awaitable<void> answerOpenRequests();
-    void endDuties();
+    void stopTasks();
     bool isIdle() const;
 
     void addAdminPages();
@@ -79,38 +79,38 @@
     net::WholeAnswer explainPage(const AdminHandler::Query &query);
     net::WholeAnswer metricsPage();
     void collectMetrics();
-    void collectNews();
-    void collectTraffic();
-    void collectDecisions();
-    void collectSlots();
+    void collectConfigurationMetrics();
+    void collectTrafficMetrics();
+    void collectDecisionMetrics();
+    void collectSlotMetrics();
 
     base::LogOutput &m_log;
-    SettingsKeeper m_settingsKeeper;
+    SettingsReloader m_settingsReloader;
     NodeContext m_context;
-    membership::VmDirectory m_directory;
+    membership::VmDirectory m_vmDirectory;
     routing::ProcessTable m_processes;
     membership::ConfigSpread m_spread;
-    membership::ServerDirectory m_servers; ///< Empty without a source of servers.
+    membership::ServerDirectory m_serverDirectory; ///< Empty without a source of servers.
     membership::VmRoster m_roster;
-    ConfigurationKeeper m_keeper;
-    std::unique_ptr<DirectoryKeeper> m_directoryKeeper; ///< Null: backend servers stand in the configuration.
-    ServingNode m_serving;
+    ConfigurationFetcher m_configurationFetcher;
+    std::unique_ptr<DirectoryUpdater> m_directoryUpdater; ///< Null: backend servers stand in the configuration.
+    ServingNode m_servingNode;
     Prober m_prober;
-    EntryHandler m_entry;
-    HopHandler m_hop;
-    AdminHandler m_admin;
-    AdminHandler m_ready;
-    PeerLink m_peers;
+    EntryHandler m_entryHandler;
+    HopHandler m_hopHandler;
+    AdminHandler m_adminHandler;
+    AdminHandler m_readyHandler;
+    PeerMessenger m_peerMessenger;
     net::HttpServer m_callerServer;
     net::HttpServer m_hopServer;
     net::HttpServer m_adminServer;
     std::unique_ptr<net::HttpServer> m_readyServer; ///< Null: asked at the admin endpoint only.
     config::ConfigurationPtr m_published; ///< The revision in force without the servers of the directory.
     net::Signal m_tickSignal;
-    base::TimePoint m_armedTick;
+    base::TimePoint m_scheduledTick;
     base::TimePoint m_nextSweep;
-    base::TimePoint m_readyAtLatest; ///< Even without its shares: a dead VM that is still listed can keep them from it.
-    base::StateMachine<NodeState, NodeEvent> m_life;
+    base::TimePoint m_readyDeadline; ///< Even without its shares: a dead VM that is still listed can keep them from it.
+    base::StateMachine<NodeState, NodeEvent> m_stateMachine;
     /// Parses and checks new revisions: at the planned size that takes more than a second, in which the node's own
     /// thread would answer nobody.
     net::asio::thread_pool m_builder{1};
--- a/src/include/papayastep/node/nodecontext.h
+++ b/src/include/papayastep/node/nodecontext.h
@@ -25,7 +25,7 @@
 namespace papayastep::node {
 
 /// The configuration in force and what is derived from it once per revision.
-struct InForce
+struct ActiveConfiguration
 {
     config::ConfigurationPtr configuration;
     std::shared_ptr<const routing::RouteTable> routes;
@@ -64,8 +64,8 @@
     routing::LedgerClient ledgerClient;
     std::unique_ptr<routing::PlacementPolicy> placement;
     NodeMetrics metrics;
-    RefusalLog refusals;
-    InForce inForce; ///< Null pointers until the first configuration.
+    RefusalLog refusalLog;
+    ActiveConfiguration active; ///< Null pointers until the first configuration.
     config::VmList vms;
     bool stopping = false; ///< A planned stop has begun; new requests are still taken for a while.
     bool draining = false; ///< New requests are refused.
--- a/src/include/papayastep/node/prober.h
+++ b/src/include/papayastep/node/prober.h
@@ -16,7 +16,7 @@
 private:
     net::Awaitable<void> loop();
     net::Awaitable<void> probe(config::BackendServer server, std::string path);
-    void probeWanted();
+    void startProbes();
 
     NodeContext &m_context;
 };
--- a/src/include/papayastep/node/processsignals.h
+++ b/src/include/papayastep/node/processsignals.h
@@ -12,7 +12,7 @@
 enum class SignalRequest {
     Stop, ///< SIGTERM, SIGINT, SIGQUIT: a planned stop.
     Reload, ///< SIGHUP: the settings file may have changed.
-    Nothing, ///< SIGUSR1, SIGUSR2, SIGALRM: sent by mistake, as these mean nothing to a node.
+    Ignore, ///< SIGUSR1, SIGUSR2, SIGALRM: sent by mistake, as these mean nothing to a node.
 };
 
 /// Holds back the signals of ProcessSignals until it is constructed. To be called before anything else in the process,
@@ -21,7 +21,7 @@
 /// By default each of these signals ends the process. One that comes between its first instruction and the
 /// registration would make a start fail, which shows as a process that ended with 128 plus the signal's number and as
 /// refused connections until it is started again. A signal that is held back is delivered upon registration instead.
-void holdBackSignals();
+void blockSignals();
 
 /// Takes the signals that operators and their tools send, from its construction on. Those that come before the event
 /// loop runs wait for it.
--- a/src/include/papayastep/node/refusallog.h
+++ b/src/include/papayastep/node/refusallog.h
@@ -17,7 +17,7 @@
     int linesPerPeriod = 10;
     base::Duration period = std::chrono::seconds(1);
     /// Requests that the summary of the others names. Forty ids of 16 characters make a line of some 700 bytes.
-    std::size_t idsNamed = 40;
+    std::size_t maxListedIds = 40;
 };
 
 /// The refusals of one code that got no line of their own.
@@ -38,7 +38,7 @@
     explicit RefusalLog(const base::Clock &clock, const RefusalLogSettings &settings = {});
 
     /// Whether the refusal of `request` gets a line of its own; otherwise it goes into the next summary.
-    bool note(base::ResultCode code, const std::string &request);
+    bool record(base::ResultCode code, const std::string &request);
 
     /// Summaries of periods that have ended. Call about once a period.
     std::vector<RefusalSummary> takeSummaries();
@@ -46,9 +46,9 @@
 private:
     struct Period
     {
-        base::TimePoint began;
+        base::TimePoint startedAt;
         int lines = 0;
-        std::size_t named = 0;
+        std::size_t listedIds = 0;
         RefusalSummary summary;
     };
 
--- a/src/include/papayastep/node/refusals.h
+++ b/src/include/papayastep/node/refusals.h
@@ -9,7 +9,7 @@
 namespace papayastep::node {
 
 /// HTTP status for a result code.
-net::http::status statusOf(base::ResultCode code);
+net::http::status httpStatus(base::ResultCode code);
 
 /// A refusal as an HTTP answer: headers Papayastep-Outcome, -Code, -Retry, Retry-After, and the same as JSON.
 /// `requestId` may be empty where the request has none yet.
@@ -18,6 +18,6 @@
                                const std::string &detail = {});
 
 /// A refusal of something that certainly did not run, with the retry class that fits its code.
-routing::Refusal notRun(base::ResultCode code, base::Duration retryAfter = {});
+routing::Refusal notRunRefusal(base::ResultCode code, base::Duration retryAfter = {});
 
 }
--- a/src/include/papayastep/node/servedanswer.h
+++ b/src/include/papayastep/node/servedanswer.h
@@ -27,7 +27,7 @@
     wire::HopReply reply;
     net::ResponseHead head; ///< Of the backend server, where reply.outcome is Answered.
     std::string body;
-    std::unique_ptr<AnswerBody> rest; ///< Null: `body` is all.
+    std::unique_ptr<AnswerBody> remainingBody; ///< Null: `body` is all.
 
     wire::HopOutcome outcome() const
     {
@@ -36,8 +36,8 @@
 };
 
 /// How much of an answer is held before its first byte goes to the caller, so that a cut one can still be retried.
-constexpr std::size_t holdBytes = 256 * 1024;
+constexpr std::size_t answerBufferBytes = 256 * 1024;
 /// The same for routes that stream.
-constexpr std::size_t holdBytesOfStream = 16 * 1024;
+constexpr std::size_t streamAnswerBufferBytes = 16 * 1024;
 
 }
--- a/src/include/papayastep/node/servingnode.h
+++ b/src/include/papayastep/node/servingnode.h
@@ -23,14 +23,14 @@
     int slots = 0;
     std::size_t running = 0;
     std::size_t queued = 0;
-    std::size_t heldBack = 0; ///< Servers taken for gray.
+    std::size_t heldBackServers = 0; ///< Servers taken for gray.
 
     SlotUse &operator+=(const SlotUse &other)
     {
         slots += other.slots;
         running += other.running;
         queued += other.queued;
-        heldBack += other.heldBack;
+        heldBackServers += other.heldBackServers;
         return *this;
     }
 
@@ -56,7 +56,7 @@
     routing::CancelAnswer cancel(const wire::CancelAttempt &cancel, const routing::SentStamp &stamp);
 
     /// The entry that waits for this attempt is gone, so an idempotent one need not go on.
-    void entryGone(const base::RequestId &request, int attempt);
+    void entryDisconnected(const base::RequestId &request, int attempt);
 
     /// Runs at the backend servers of this VM, which may make calls.
     health::RunCalls &runCalls();
@@ -74,43 +74,43 @@
     std::map<base::ServiceId, SlotUse> slotUse() const;
 
 private:
-    struct Work;
-    struct Lane;
+    struct ActiveAttempt;
+    struct LocalServer;
     class BackendBody;
-    using WorkPtr = std::shared_ptr<Work>;
+    using ActiveAttemptPtr = std::shared_ptr<ActiveAttempt>;
 
-    Lane *laneOf(const base::BackendServerId &server);
+    LocalServer *findLocalServer(const base::BackendServerId &server);
     std::optional<base::ResultCode> checkKey(const wire::HopRequest &hop) const;
     std::optional<base::ResultCode> checkServer(const base::BackendServerId &server,
                                                 bool idempotent,
                                                 bool lastResort = false);
-    base::TimePoint overdueAt(const Work &work);
-    bool mayBecomeOverdue(const Work &work);
-    base::Duration expectedRun(const Lane &lane, const base::RouteId &route) const;
-    void watchOverdue();
-    limits::QueueOffer offerOf(const Work &work) const;
-    bool isHeldBack(const Lane &lane, bool idempotent) const;
-    std::optional<base::ResultCode> beginWork(Work &work);
-    net::Awaitable<void> waitForSlot(WorkPtr work);
-    net::Awaitable<void> runOnBackend(WorkPtr work, net::ClientRequest request);
-    void finishWork(Work &work, health::AttemptOutcome outcome);
-    void noteEntry(Lane &lane, const base::VmId &entry);
-    void tellHeld(const Lane &lane, std::string_view evidence);
-    void noteOutcome(Lane &lane, const Work &work, health::AttemptOutcome outcome);
-    ServedAnswer answerOf(const WorkPtr &work);
-    health::AttemptOutcome outcomeOf(const Work &work, net::http::status status);
-    ServedAnswer refusedByServer(const WorkPtr &work);
-    ServedAnswer refusalOf(const Work &work, base::ResultCode code, base::Duration retryAfter);
-    void logRefusal(const Work &work, const wire::HopReply &reply) const;
-    wire::HopReply replyOf(const Work &work) const;
-    base::BackendServerId advise(const Work &work);
+    base::TimePoint overdueAt(const ActiveAttempt &activeAttempt);
+    bool mayBecomeOverdue(const ActiveAttempt &activeAttempt);
+    base::Duration expectedRun(const LocalServer &localServer, const base::RouteId &route) const;
+    void checkOverdueAttempts();
+    limits::QueueOffer queueOffer(const ActiveAttempt &activeAttempt) const;
+    bool isHeldBack(const LocalServer &localServer, bool idempotent) const;
+    std::optional<base::ResultCode> registerAttempt(ActiveAttempt &activeAttempt);
+    net::Awaitable<void> waitForSlot(ActiveAttemptPtr activeAttempt);
+    net::Awaitable<void> runOnBackend(ActiveAttemptPtr activeAttempt, net::ClientRequest request);
+    void finishAttempt(ActiveAttempt &activeAttempt, health::AttemptOutcome outcome);
+    void recordEntry(LocalServer &localServer, const base::VmId &entry);
+    void notifyHold(const LocalServer &localServer, std::string_view evidence);
+    void recordOutcome(LocalServer &localServer, const ActiveAttempt &activeAttempt, health::AttemptOutcome outcome);
+    ServedAnswer answerOf(const ActiveAttemptPtr &activeAttempt);
+    health::AttemptOutcome outcomeOf(const ActiveAttempt &activeAttempt, net::http::status status);
+    ServedAnswer refusedByServer(const ActiveAttemptPtr &activeAttempt);
+    ServedAnswer refusalOf(const ActiveAttempt &activeAttempt, base::ResultCode code, base::Duration retryAfter);
+    void logRefusal(const ActiveAttempt &activeAttempt, const wire::HopReply &reply) const;
+    wire::HopReply replyOf(const ActiveAttempt &activeAttempt) const;
+    base::BackendServerId advise(const ActiveAttempt &activeAttempt);
 
     NodeContext &m_context;
     health::PauseWatch m_pauses;
     health::RunCalls m_runCalls;
     routing::AttemptRegistry m_registry;
-    std::map<base::BackendServerId, std::unique_ptr<Lane>> m_lanes;
-    std::map<limits::AttemptId, WorkPtr> m_work;
+    std::map<base::BackendServerId, std::unique_ptr<LocalServer>> m_localServers;
+    std::map<limits::AttemptId, ActiveAttemptPtr> m_attempts;
 };
 
 }
--- a/src/include/papayastep/node/settings.h
+++ b/src/include/papayastep/node/settings.h
@@ -17,7 +17,7 @@
 
 /// What a node speaks with callers, backend servers and the platform: papayastep's own interfaces, or those of the
 /// operators' platform (folder platform/).
-enum class InterfaceChoice { Own, Platform };
+enum class InterfaceChoice { Native, Platform };
 
 /// What a node does with a request when it can't know whether its workspace is inside its rate: refuse, so that no
 /// workspace ever gets more, or serve within an excess that the operators tolerate.
@@ -36,7 +36,7 @@
     std::string readyPath = "/readyz"; ///< Where that question is asked.
     std::vector<net::Endpoint> platform;
     base::ServiceId service; ///< Of the backend servers on this VM, which tells who calls; empty: not told.
-    InterfaceChoice interfaces = InterfaceChoice::Own;
+    InterfaceChoice interfaces = InterfaceChoice::Native;
     RateLimitChoice rateLimits = RateLimitChoice::Strict;
     std::optional<routing::FleetRetryLimit> retryLimit; ///< Absent: a fifth of each node's own requests.
     std::string secret; ///< Of the fleet. Never logged.
@@ -46,7 +46,7 @@
     std::optional<base::Duration> longestHold;
     /// Whether gray servers are held back by health::FailureFilter alone. Its holds end after a second or two; the
     /// slower test's ejections and trials beside it left well servers without work for ten seconds at a time.
-    bool holdsByFilter() const
+    bool usesOnlyFailureFilter() const
     {
         return placement == PlacementChoice::LeastCost;
     }
@@ -77,10 +77,10 @@
 };
 
 /// Environment variable with the fleet secret, where no secretFile is named.
-constexpr const char *secretVariable = "PAPAYASTEP_SECRET";
+constexpr const char *secretEnvironmentVariable = "PAPAYASTEP_SECRET";
 
 /// The text of a settings file. Throws Error(SettingsUnreadable).
-std::string settingsText(const std::string &path);
+std::string readSettingsText(const std::string &path);
 
 /// Reads, merges and checks. Throws Error (2xxx) naming the file and the JSON pointer.
 NodeSettings readSettings(const std::string &path, const SettingsOverrides &overrides);
--- a/src/include/papayastep/node/settingskeeper.h
+++ b/src/include/papayastep/node/settingsreloader.h
@@ -9,16 +9,16 @@
 
 /// Reads the settings file again when it may have changed. A file that is unreadable or wrong changes nothing: a node
 /// that ended over a slip in a file would take its backend server with it.
-class SettingsKeeper
+class SettingsReloader
 {
 public:
-    SettingsKeeper(std::string path, SettingsOverrides overrides);
+    SettingsReloader(std::string path, SettingsOverrides overrides);
 
     /// The settings at the start. Throws Error (2xxx).
-    NodeSettings first();
+    NodeSettings load();
 
     /// The settings if the file's text has changed since it was last read. Throws Error (2xxx), once for each text.
-    std::optional<NodeSettings> changed();
+    std::optional<NodeSettings> reloadIfChanged();
 
 private:
     std::string m_path;
@@ -27,9 +27,9 @@
 };
 
 /// Names of the members that differ and can't change in a running process, such as addresses; empty: none.
-std::string changedForNextStart(const NodeSettings &running, const NodeSettings &fresh);
+std::string settingsNeedingRestart(const NodeSettings &running, const NodeSettings &fresh);
 
 /// `running` with all of `fresh` that a running process can take over.
-NodeSettings takenOver(const NodeSettings &running, const NodeSettings &fresh);
+NodeSettings withReloadableSettings(const NodeSettings &running, const NodeSettings &fresh);
 
 }
--- a/src/node/adminhandler.cpp
+++ b/src/node/adminhandler.cpp
@@ -65,7 +65,7 @@
 
 net::WholeAnswer AdminHandler::refusal(base::ResultCode code, const std::string &detail)
 {
-    return refusalAnswer(notRun(code), {}, detail);
+    return refusalAnswer(notRunRefusal(code), {}, detail);
 }
 
 }
--- a/src/node/attempt.cpp
+++ b/src/node/attempt.cpp
@@ -73,7 +73,7 @@
 
 void Attempt::detach()
 {
-    m_changed = nullptr;
+    m_onChange = nullptr;
 }
 
 void Attempt::cancelAnswered(routing::CancelAnswer answer)
@@ -102,9 +102,9 @@
     return m_acknowledged;
 }
 
-bool Attempt::suspect() const
+bool Attempt::reportedHanging() const
 {
-    return m_suspect;
+    return m_reportedHanging;
 }
 
 bool Attempt::finished() const
@@ -112,9 +112,9 @@
     return m_finished;
 }
 
-bool Attempt::linkFailed() const
+bool Attempt::hopFailed() const
 {
-    return m_linkFailed;
+    return m_hopFailed;
 }
 
 bool Attempt::neverSent() const
@@ -134,8 +134,8 @@
 
 void Attempt::notifyChanged()
 {
-    if (m_changed) {
-        m_changed();
+    if (m_onChange) {
+        m_onChange();
     }
 }
 
@@ -148,12 +148,12 @@
 
 void LocalAttempt::start(net::ClientRequest request, std::function<void()> changed)
 {
-    m_changed = std::move(changed);
+    m_onChange = std::move(changed);
     auto self = std::static_pointer_cast<LocalAttempt>(shared_from_this());
     auto run = [self, request = std::move(request)]() mutable -> net::Awaitable<void> {
         auto suspect = [weak = std::weak_ptr<LocalAttempt>(self)] {
             if (const auto attempt = weak.lock()) {
-                attempt->m_suspect = true;
+                attempt->m_reportedHanging = true;
                 attempt->notifyChanged();
             }
         };
@@ -167,7 +167,7 @@
 void LocalAttempt::abandon()
 {
     detach();
-    m_serving.entryGone(m_hop.requestId(), static_cast<int>(m_hop.attempt));
+    m_serving.entryDisconnected(m_hop.requestId(), static_cast<int>(m_hop.attempt));
 }
 
 void LocalAttempt::requestCancel(bool stop)
@@ -186,11 +186,11 @@
 
 void RemoteAttempt::start(net::ClientRequest request, std::function<void()> changed)
 {
-    m_changed = std::move(changed);
+    m_onChange = std::move(changed);
     auto self = std::static_pointer_cast<RemoteAttempt>(shared_from_this());
     m_exchange->onAcknowledged([weak = std::weak_ptr<RemoteAttempt>(self)] {
         if (const auto attempt = weak.lock()) {
-            attempt->m_suspect = attempt->m_acknowledged;
+            attempt->m_reportedHanging = attempt->m_acknowledged;
             attempt->m_acknowledged = true;
             attempt->m_context.health.hopAcknowledged(attempt->m_vm,
                                                       {attempt->m_hop.requestId(), attempt->m_hop.attempt});
@@ -211,7 +211,7 @@
 {
     detach();
     m_abandoned = true;
-    endHop(m_finished ? health::HopOutcome::CancelledByUs : health::HopOutcome::GivenUp);
+    reportHopEnd(m_finished ? health::HopOutcome::CancelledByUs : health::HopOutcome::GivenUp);
     m_exchange->cancel();
 }
 
@@ -223,9 +223,9 @@
 
 net::Awaitable<void> RemoteAttempt::run(net::ClientRequest request)
 {
-    const config::Route *route = m_context.inForce.configuration->route(m_hop.route);
+    const config::Route *route = m_context.active.configuration->route(m_hop.route);
     const bool stream = route != nullptr && route->stream;
-    co_await m_exchange->run(std::move(request), stream ? holdBytesOfStream : holdBytes);
+    co_await m_exchange->run(std::move(request), stream ? streamAnswerBufferBytes : answerBufferBytes);
     m_finished = true;
     if (!m_abandoned) {
         readAnswer();
@@ -237,10 +237,10 @@
 {
     const bool headCame = m_exchange->progress() >= net::ExchangeProgress::HeadReceived;
     if (!headCame || m_exchange->failure() != net::ExchangeFailure::None) {
-        m_linkFailed = true;
+        m_hopFailed = true;
         m_neverSent = m_exchange->progress() == net::ExchangeProgress::Connecting;
         const bool serverSide = m_acknowledged || headCame;
-        endHop(serverSide ? health::HopOutcome::ServerFailed : health::HopOutcome::ConnectionFailed);
+        reportHopEnd(serverSide ? health::HopOutcome::ServerFailed : health::HopOutcome::ConnectionFailed);
         return;
     }
     try {
@@ -248,23 +248,23 @@
     } catch (const base::Error &error) {
         PAPAYASTEP_LOG(WARNING, logPrefix)
             << "Refused an answer of a hop." << base::field("vm", m_vm) << base::field("code", number(error.code()));
-        m_linkFailed = true;
-        endHop(health::HopOutcome::ServerFailed);
+        m_hopFailed = true;
+        reportHopEnd(health::HopOutcome::ServerFailed);
         return;
     }
     // The answer to another request on this connection, late or crossed, would carry another id.
     const bool own = m_answer.reply.requestId() == m_hop.requestId() && m_answer.reply.attempt == m_hop.attempt;
     if (!own) {
         PAPAYASTEP_LOG(ERROR, logPrefix) << "Got the answer to another request." << base::field("vm", m_vm);
-        m_linkFailed = true;
-        endHop(health::HopOutcome::ServerFailed);
+        m_hopFailed = true;
+        reportHopEnd(health::HopOutcome::ServerFailed);
         return;
     }
     m_acknowledged = true;
     m_answer.head = m_exchange->head();
     m_answer.body = std::move(m_exchange->body());
     if (m_exchange->progress() != net::ExchangeProgress::Complete) {
-        m_answer.rest = std::make_unique<HopBody>(m_exchange);
+        m_answer.remainingBody = std::make_unique<HopBody>(m_exchange);
     }
     try {
         m_context.health.absorbReport(m_vm, wire::decode<health::ServerReport>(m_answer.reply.report));
@@ -273,24 +273,24 @@
     }
     switch (m_answer.outcome()) {
     case wire::HopOutcome::Answered:
-        endHop(m_answer.reply.callFailed ? health::HopOutcome::Refused
-                                         : hopOutcomeOfStatus(m_answer.head.result_int()));
+        reportHopEnd(m_answer.reply.callFailed ? health::HopOutcome::Refused
+                                               : hopOutcomeOfStatus(m_answer.head.result_int()));
         break;
     case wire::HopOutcome::NotRun:
-        endHop(health::HopOutcome::Refused);
+        reportHopEnd(health::HopOutcome::Refused);
         break;
     default:
-        endHop(health::HopOutcome::ServerFailed);
+        reportHopEnd(health::HopOutcome::ServerFailed);
         break;
     }
 }
 
-void RemoteAttempt::endHop(health::HopOutcome outcome)
+void RemoteAttempt::reportHopEnd(health::HopOutcome outcome)
 {
-    if (m_hopEnded) {
+    if (m_hopEndReported) {
         return;
     }
-    m_hopEnded = true;
+    m_hopEndReported = true;
     m_context.health.hopEnded(m_vm, {m_hop.requestId(), m_hop.attempt}, outcome, m_context.clock.now() - m_startedAt);
     m_context.schedulePump();
 }
--- a/src/node/attemptwatch.cpp
+++ b/src/node/attemptmonitor.cpp
@@ -1,4 +1,4 @@
-#include "attemptwatch.h"
+#include "attemptmonitor.h"
 
 #include <algorithm>
 
@@ -14,18 +14,18 @@
 
 }
 
-AttemptWatch::AttemptWatch(NodeContext &context, net::Signal &changed)
+AttemptMonitor::AttemptMonitor(NodeContext &context, net::Signal &changed)
     : m_context(context)
     , m_changed(changed)
 {
 }
 
-AttemptWatch::~AttemptWatch()
+AttemptMonitor::~AttemptMonitor()
 {
     abandon();
 }
 
-void AttemptWatch::begin(AttemptPtr attempt, const routing::AttemptTimeouts &timeouts, net::ClientRequest request)
+void AttemptMonitor::begin(AttemptPtr attempt, const routing::AttemptTimeouts &timeouts, net::ClientRequest request)
 {
     abandon();
     m_attempt = std::move(attempt);
@@ -36,13 +36,13 @@
     m_attempt->start(std::move(request), [this] { m_changed.notify(); });
 }
 
-net::Awaitable<routing::AttemptResult> AttemptWatch::next(const base::TimePoint &deadline, const bool &callerGone)
+net::Awaitable<routing::AttemptResult> AttemptMonitor::next(const base::TimePoint &deadline, const bool &callerGone)
 {
     for (;;) {
         // Taken once: an attempt that ended without proof goes on to a cancel, and stays ended while that is asked for.
         if (m_attempt->finished() && !m_resultTaken) {
             m_resultTaken = true;
-            co_return resultOfAttempt();
+            co_return attemptResult();
         }
         const auto now = m_context.clock.now();
         if (callerGone) {
@@ -60,16 +60,16 @@
     }
 }
 
-void AttemptWatch::beginCancel(bool stop)
+void AttemptMonitor::beginCancel(bool stop)
 {
     m_cancelling = true;
-    m_cancelStops = stop;
+    m_cancelStopsAttempt = stop;
     m_cancelSince = m_context.clock.now();
-    m_cancelSent = m_cancelSince;
+    m_cancelSentAt = m_cancelSince;
     m_attempt->requestCancel(stop);
 }
 
-void AttemptWatch::abandon()
+void AttemptMonitor::abandon()
 {
     if (m_attempt) {
         m_attempt->abandon();
@@ -77,24 +77,24 @@
     }
 }
 
-AttemptPtr AttemptWatch::release()
+AttemptPtr AttemptMonitor::release()
 {
     return std::exchange(m_attempt, nullptr);
 }
 
-Attempt *AttemptWatch::attempt() const
+Attempt *AttemptMonitor::attempt() const
 {
     return m_attempt.get();
 }
 
-const base::BackendServerId &AttemptWatch::advice() const
+const base::BackendServerId &AttemptMonitor::advice() const
 {
     return m_advice;
 }
 
-routing::AttemptResult AttemptWatch::resultOfAttempt()
+routing::AttemptResult AttemptMonitor::attemptResult()
 {
-    if (m_attempt->linkFailed()) {
+    if (m_attempt->hopFailed()) {
         const auto event = m_attempt->neverSent() ? AttemptEvent::ConnectionRefused
             : m_attempt->acknowledged()           ? AttemptEvent::Partial
                                                   : AttemptEvent::NotAcknowledged;
@@ -119,7 +119,7 @@
     }
 }
 
-std::optional<routing::AttemptResult> AttemptWatch::cancelResult(base::TimePoint now)
+std::optional<routing::AttemptResult> AttemptMonitor::cancelResult(base::TimePoint now)
 {
     if (!m_cancelling) {
         return std::nullopt;
@@ -149,27 +149,27 @@
     return routing::AttemptResult{AttemptEvent::CancelUnanswered, ResultCode::OutcomeUnknown, {}};
 }
 
-std::optional<routing::AttemptResult> AttemptWatch::timeoutReached(base::TimePoint now, base::TimePoint deadline)
+std::optional<routing::AttemptResult> AttemptMonitor::timeoutReached(base::TimePoint now, base::TimePoint deadline)
 {
     if (now >= deadline) {
-        return once(AttemptEvent::DeadlinePassed, ResultCode::DeadlineExceeded);
+        return reportOnce(AttemptEvent::DeadlinePassed, ResultCode::DeadlineExceeded);
     }
     const auto age = now - m_attempt->startedAt();
     if (m_cancelling) {
         return std::nullopt;
     }
     if (!m_attempt->acknowledged() && age >= m_timeouts.acknowledge) {
-        if (auto result = once(AttemptEvent::NotAcknowledged, ResultCode::HopUnacknowledged)) {
+        if (auto result = reportOnce(AttemptEvent::NotAcknowledged, ResultCode::HopUnacknowledged)) {
             return result;
         }
     }
-    if (m_attempt->acknowledged() && (m_attempt->suspect() || age >= m_timeouts.answer)) {
-        return once(AttemptEvent::AcknowledgedThenSilent, ResultCode::DeadlineExceeded);
+    if (m_attempt->acknowledged() && (m_attempt->reportedHanging() || age >= m_timeouts.answer)) {
+        return reportOnce(AttemptEvent::AcknowledgedThenSilent, ResultCode::DeadlineExceeded);
     }
     return std::nullopt;
 }
 
-std::optional<routing::AttemptResult> AttemptWatch::once(AttemptEvent event, ResultCode code)
+std::optional<routing::AttemptResult> AttemptMonitor::reportOnce(AttemptEvent event, ResultCode code)
 {
     if (!m_reported.insert(event).second) {
         return std::nullopt;
@@ -177,7 +177,7 @@
     return routing::AttemptResult{event, code, {}};
 }
 
-base::TimePoint AttemptWatch::nextTimeout(base::TimePoint deadline) const
+base::TimePoint AttemptMonitor::nextTimeout(base::TimePoint deadline) const
 {
     base::TimePoint next = deadline;
     const auto now = m_context.clock.now();
@@ -190,16 +190,16 @@
     consider(m_attempt->startedAt() + m_timeouts.answer);
     if (m_cancelling) {
         consider(m_cancelSince + m_timeouts.cancel);
-        consider(m_cancelSent + cancelResendEvery);
+        consider(m_cancelSentAt + cancelResendEvery);
     }
     return std::max(next, now + std::chrono::microseconds(100));
 }
 
-void AttemptWatch::resendCancel(base::TimePoint now)
+void AttemptMonitor::resendCancel(base::TimePoint now)
 {
-    if (m_cancelling && now - m_cancelSent >= cancelResendEvery) {
-        m_cancelSent = now;
-        m_attempt->requestCancel(m_cancelStops);
+    if (m_cancelling && now - m_cancelSentAt >= cancelResendEvery) {
+        m_cancelSentAt = now;
+        m_attempt->requestCancel(m_cancelStopsAttempt);
     }
 }
 
--- a/src/node/attemptwatch.h
+++ b/src/node/attemptmonitor.h
@@ -11,15 +11,15 @@
 
 /// Follows one attempt after the other for an entry: what was heard of it, what is overdue, whether a cancel is open.
 /// Tells each such event once; what follows from it is the retry policy's to decide.
-class AttemptWatch
+class AttemptMonitor
 {
 public:
     /// `changed` is notified by whoever has news for the request.
-    AttemptWatch(NodeContext &context, net::Signal &changed);
-    ~AttemptWatch();
+    AttemptMonitor(NodeContext &context, net::Signal &changed);
+    ~AttemptMonitor();
 
-    AttemptWatch(const AttemptWatch &) = delete;
-    AttemptWatch &operator=(const AttemptWatch &) = delete;
+    AttemptMonitor(const AttemptMonitor &) = delete;
+    AttemptMonitor &operator=(const AttemptMonitor &) = delete;
 
     /// Begins with `attempt`; the one before is abandoned.
     void begin(AttemptPtr attempt, const routing::AttemptTimeouts &timeouts, net::ClientRequest request);
@@ -45,10 +45,10 @@
     const base::BackendServerId &advice() const;
 
 private:
-    routing::AttemptResult resultOfAttempt();
+    routing::AttemptResult attemptResult();
     std::optional<routing::AttemptResult> cancelResult(base::TimePoint now);
     std::optional<routing::AttemptResult> timeoutReached(base::TimePoint now, base::TimePoint deadline);
-    std::optional<routing::AttemptResult> once(routing::AttemptEvent event, base::ResultCode code);
+    std::optional<routing::AttemptResult> reportOnce(routing::AttemptEvent event, base::ResultCode code);
     base::TimePoint nextTimeout(base::TimePoint deadline) const;
     void resendCancel(base::TimePoint now);
 
@@ -58,11 +58,11 @@
     routing::AttemptTimeouts m_timeouts;
     base::BackendServerId m_advice;
     base::TimePoint m_cancelSince;
-    base::TimePoint m_cancelSent;
+    base::TimePoint m_cancelSentAt;
     std::set<routing::AttemptEvent> m_reported; ///< Timeouts of this attempt that were told already.
     bool m_resultTaken = false; ///< The end of the attempt was told; what is awaited now is word of a cancel.
     bool m_cancelling = false;
-    bool m_cancelStops = false;
+    bool m_cancelStopsAttempt = false;
 };
 
 }
--- a/src/node/backendprotocol.cpp
+++ b/src/node/backendprotocol.cpp
@@ -10,7 +10,7 @@
 
 }
 
-void OwnBackendProtocol::prepare(net::RequestHead &head, const BackendCall &call) const
+void NativeBackendProtocol::prepare(net::RequestHead &head, const BackendCall &call) const
 {
     const auto left = std::chrono::ceil<std::chrono::milliseconds>(call.remaining);
     head.set("Papayastep-Request-Id", toString(call.request));
@@ -20,17 +20,17 @@
     head.set("Papayastep-Deadline-Ms", std::to_string(left.count()));
 }
 
-AnswerVerdict OwnBackendProtocol::judge(const net::ResponseHead &, const net::RequestHead &) const
+AnswerKind NativeBackendProtocol::classify(const net::ResponseHead &, const net::RequestHead &) const
 {
-    return AnswerVerdict::Answered;
+    return AnswerKind::Answered;
 }
 
-std::optional<ServerLoad> OwnBackendProtocol::load(const net::ResponseHead &) const
+std::optional<ServerLoad> NativeBackendProtocol::reportedLoad(const net::ResponseHead &) const
 {
     return std::nullopt;
 }
 
-bool OwnBackendProtocol::isHealthy(const net::ResponseHead &answer, const base::BackendServerId &) const
+bool NativeBackendProtocol::isHealthy(const net::ResponseHead &answer, const base::BackendServerId &) const
 {
     return answer.result_int() < firstFailure;
 }
--- a/src/node/callerprotocol.cpp
+++ b/src/node/callerprotocol.cpp
@@ -34,7 +34,7 @@
 
 }
 
-CallerRequest OwnCallerProtocol::read(const net::RequestHead &head) const
+CallerRequest NativeCallerProtocol::read(const net::RequestHead &head) const
 {
     if (hasReservedHeader(head)) {
         throw base::Error(base::ResultCode::RequestReservedHeader, "a header begins with Papayastep-");
@@ -45,27 +45,27 @@
     return request;
 }
 
-void OwnCallerProtocol::strip(net::RequestHead &head) const
+void NativeCallerProtocol::strip(net::RequestHead &head) const
 {
     head.erase(net::http::field::authorization);
     head.erase("X-Api-Key");
 }
 
-net::WholeAnswer OwnCallerProtocol::refusal(const routing::Refusal &refusal,
-                                            const std::string &requestId,
-                                            const std::string &detail) const
+net::WholeAnswer NativeCallerProtocol::refusal(const routing::Refusal &refusal,
+                                               const std::string &requestId,
+                                               const std::string &detail) const
 {
     return refusalAnswer(refusal, requestId, detail);
 }
 
-bool OwnCallerProtocol::hasIdempotencyKeys() const
+bool NativeCallerProtocol::hasIdempotencyKeys() const
 {
     return true;
 }
 
-void OwnCallerProtocol::annotate(net::ResponseHead &head,
-                                 const std::string &requestId,
-                                 const base::BackendServerId &server) const
+void NativeCallerProtocol::annotate(net::ResponseHead &head,
+                                    const std::string &requestId,
+                                    const base::BackendServerId &server) const
 {
     head.set("Papayastep-Request-Id", requestId);
     if (!server.empty()) {
--- a/src/node/candidates.cpp
+++ b/src/node/candidates.cpp
@@ -32,7 +32,7 @@
     candidate.trial = view.availability == health::Availability::Trial;
     candidate.usable = view.availability == health::Availability::Usable || candidate.trial || view.spread;
     candidate.weight = view.weight;
-    if (context.settings.holdsByFilter()) {
+    if (context.settings.usesOnlyFailureFilter()) {
         candidate.trial = false;
         candidate.usable = true;
         candidate.weight = 1;
@@ -44,7 +44,7 @@
 
 std::vector<routing::Candidate> candidatesOf(const NodeContext &context, const base::ServiceId &service)
 {
-    const auto &servers = context.inForce.configuration->serversOf(service);
+    const auto &servers = context.active.configuration->serversOf(service);
     std::vector<routing::Candidate> candidates;
     candidates.reserve(servers.size());
     for (const config::BackendServer *server : servers) {
@@ -53,7 +53,7 @@
     return candidates;
 }
 
-base::Duration typicalLatency(const std::vector<routing::Candidate> &candidates)
+base::Duration medianLatency(const std::vector<routing::Candidate> &candidates)
 {
     std::vector<base::Duration> latencies;
     for (const routing::Candidate &candidate : candidates) {
--- a/src/node/collectmetrics.cpp
+++ b/src/node/collectmetrics.cpp
@@ -25,30 +25,30 @@
 
 void Node::collectMetrics()
 {
-    collectNews();
-    collectTraffic();
-    collectDecisions();
-    collectSlots();
+    collectConfigurationMetrics();
+    collectTrafficMetrics();
+    collectDecisionMetrics();
+    collectSlotMetrics();
 }
 
 /// What the node knows of the configuration and the platform, and how old that is.
-void Node::collectNews()
+void Node::collectConfigurationMetrics()
 {
     NodeMetrics &metrics = m_context.metrics;
     const membership::SpreadStatus spread = m_spread.status();
-    metrics.set("configuration_revision", real(m_published ? m_published->revision() : 0));
-    metrics.set("configuration_news_age_seconds", ageSeconds(spread.newsAge));
+    metrics.setGauge("configuration_revision", real(m_published ? m_published->revision() : 0));
+    metrics.setGauge("configuration_news_age_seconds", ageSeconds(spread.newsAge));
     metrics.setTotal("configurations_rejected", real(spread.rejected));
     metrics.setTotal("configuration_peers_asked", real(spread.peersAsked));
     metrics.setTotal("configuration_peers_silent", real(spread.peersSilent));
     metrics.setTotal("configuration_peers_declined", real(spread.peersDeclined));
     metrics.setTotal("configuration_requests_declined", real(spread.requestsDeclined));
-    metrics.set("configuration_store_bytes", real(spread.storeBytes));
-    metrics.set("platform_stale", spread.platformStale ? 1 : 0);
-    metrics.set("vm_list_version", real(spread.vmListVersion));
-    metrics.set("vms", real(m_context.vms.vms.size()));
-    if (m_directoryKeeper) {
-        metrics.set("directory_news_age_seconds", ageSeconds(m_servers.age()));
+    metrics.setGauge("configuration_store_bytes", real(spread.storeBytes));
+    metrics.setGauge("platform_stale", spread.platformStale ? 1 : 0);
+    metrics.setGauge("vm_list_version", real(spread.vmListVersion));
+    metrics.setGauge("vms", real(m_context.vms.vms.size()));
+    if (m_directoryUpdater) {
+        metrics.setGauge("directory_news_age_seconds", ageSeconds(m_serverDirectory.age()));
     }
     for (const auto &[kind, total] : m_context.interfaces.platformCalls->totals()) {
         const NodeMetrics::Labels labels{{"call", kind.call}, {"answer", kind.answer}};
@@ -57,31 +57,31 @@
     }
 }
 
-void Node::collectTraffic()
+void Node::collectTrafficMetrics()
 {
     NodeMetrics &metrics = m_context.metrics;
-    const net::PeerEndpoint::Counters &peers = m_peers.counters();
+    const net::PeerEndpoint::Counters &peers = m_peerMessenger.counters();
     metrics.setTotal("peer_messages_sent", real(peers.messagesSent));
     metrics.setTotal("peer_messages_received", real(peers.messagesReceived));
     metrics.setTotal("peer_bytes_received", real(peers.bytesReceived));
     metrics.setTotal("peer_messages_dropped", real(peers.dropped));
-    metrics.setTotal("peer_messages_refused", real(m_peers.refused()));
+    metrics.setTotal("peer_messages_refused", real(m_peerMessenger.refusedMessages()));
     metrics.setTotal("peer_bytes_sent", real(peers.bytesSent));
-    for (const auto &[kind, tally] : m_peers.sent()) {
+    for (const auto &[kind, tally] : m_peerMessenger.sentByKind()) {
         metrics.setTotal(
             "peer_bytes_sent_of_kind", real(tally.bytes), {{"kind", std::to_string(static_cast<int>(kind))}});
     }
-    metrics.set("peer_sockets", real(m_peers.openSockets()));
+    metrics.setGauge("peer_sockets", real(m_peerMessenger.openSockets()));
     const base::LogOutput::Counters log = m_log.counters();
     metrics.setTotal("log_lines_written", real(log.written));
     metrics.setTotal("log_bytes_written", real(log.bytes));
     metrics.setTotal("log_lines_dropped", real(log.dropped));
-    metrics.set("caller_connections", real(m_callerServer.connections()));
+    metrics.setGauge("caller_connections", real(m_callerServer.connections()));
     metrics.setTotal("caller_connections_refused", real(m_callerServer.refusedConnections()));
     metrics.setTotal("task_faults", real(net::taskFaults(m_context.io).count()));
 }
 
-void Node::collectDecisions()
+void Node::collectDecisionMetrics()
 {
     NodeMetrics &metrics = m_context.metrics;
     const limits::BrokerCounters &tokens = m_context.tokens.counters();
@@ -99,7 +99,7 @@
     metrics.setTotal("token_messages_ignored", real(tokens.messagesIgnored));
     metrics.setTotal("token_tenures_lost", real(tokens.tenuresLost));
     metrics.setTotal("token_pauses", real(tokens.pauses));
-    metrics.set("token_workspaces", real(m_context.tokens.activeWorkspaces()));
+    metrics.setGauge("token_workspaces", real(m_context.tokens.activeWorkspaces()));
 
     const health::HealthCounters &health = m_context.health.counters();
     metrics.setTotal("health_ejections", real(health.ejections));
@@ -115,39 +115,39 @@
     metrics.setTotal("retries_spent", real(retries.spent));
     metrics.setTotal("retries_refused", real(retries.refusedByService), {{"budget", "service"}});
     metrics.setTotal("retries_refused", real(retries.refusedByWorkspace), {{"budget", "workspace"}});
-    metrics.clear("retry_budget_left");
+    metrics.clearGauge("retry_budget_left");
     std::map<std::string, double> least;
     for (const auto &[service, left] : m_context.retryBudget.left()) {
         const auto [place, isNew] = least.try_emplace(metrics.serviceLabel(service), left);
         place->second = std::min(place->second, left);
     }
     for (const auto &[service, left] : least) {
-        metrics.set("retry_budget_left", left, {{"service", service}});
+        metrics.setGauge("retry_budget_left", left, {{"service", service}});
     }
-    metrics.set("ledger_records", real(m_context.ledgerHome.ledger().size()));
-    metrics.set("ledger_bytes", real(m_context.ledgerHome.ledger().bytes()));
+    metrics.setGauge("ledger_records", real(m_context.ledgerHome.ledger().size()));
+    metrics.setGauge("ledger_bytes", real(m_context.ledgerHome.ledger().bytes()));
 }
 
-void Node::collectSlots()
+void Node::collectSlotMetrics()
 {
     NodeMetrics &metrics = m_context.metrics;
     for (const char *name : {"slots", "slots_in_use", "slots_queued", "servers_held"}) {
-        metrics.clear(name);
+        metrics.clearGauge(name);
     }
     std::map<std::string, SlotUse> byLabel;
-    for (const auto &[service, use] : m_serving.slotUse()) {
+    for (const auto &[service, use] : m_servingNode.slotUse()) {
         byLabel[metrics.serviceLabel(service)] += use;
     }
     for (const auto &[service, use] : byLabel) {
         const NodeMetrics::Labels labels{{"service", service}};
-        metrics.set("slots", use.slots, labels);
-        metrics.set("slots_in_use", real(use.running), labels);
-        metrics.set("slots_queued", real(use.queued), labels);
-        metrics.set("servers_held", real(use.heldBack), labels);
+        metrics.setGauge("slots", use.slots, labels);
+        metrics.setGauge("slots_in_use", real(use.running), labels);
+        metrics.setGauge("slots_queued", real(use.queued), labels);
+        metrics.setGauge("servers_held", real(use.heldBackServers), labels);
     }
-    metrics.set("requests_open", real(m_entry.open()));
-    metrics.set("attempts_serving", real(m_serving.inFlight()));
-    metrics.set("attempts_queued", real(m_serving.queued()));
+    metrics.setGauge("requests_open", real(m_entryHandler.openRequests()));
+    metrics.setGauge("attempts_serving", real(m_servingNode.inFlight()));
+    metrics.setGauge("attempts_queued", real(m_servingNode.queued()));
 }
 
 }
--- a/src/node/configurationkeeper.cpp
+++ b/src/node/configurationfetcher.cpp
@@ -1,4 +1,4 @@
-#include "papayastep/node/configurationkeeper.h"
+#include "papayastep/node/configurationfetcher.h"
 
 #include "papayastep/base/error.h"
 #include "papayastep/base/log.h"
@@ -30,9 +30,9 @@
 
 }
 
-ConfigurationKeeper::ConfigurationKeeper(NodeContext &context,
-                                         membership::ConfigSpread &spread,
-                                         net::PlatformClient &platform)
+ConfigurationFetcher::ConfigurationFetcher(NodeContext &context,
+                                           membership::ConfigSpread &spread,
+                                           net::PlatformClient &platform)
     : m_context(context)
     , m_spread(spread)
     , m_platform(platform)
@@ -41,35 +41,35 @@
 {
 }
 
-void ConfigurationKeeper::start()
+void ConfigurationFetcher::start()
 {
-    startConfiguration();
+    startConfigurationOnly();
     net::spawnDuty(m_context.io, "vm-list", [this] { return vmListLoop(); });
 }
 
-void ConfigurationKeeper::startConfiguration()
+void ConfigurationFetcher::startConfigurationOnly()
 {
     net::spawnDuty(m_context.io, "configuration", [this] { return configurationLoop(); });
 }
 
-void ConfigurationKeeper::stop()
+void ConfigurationFetcher::stop()
 {
     m_stopped = true;
     wake();
 }
 
-void ConfigurationKeeper::wake()
+void ConfigurationFetcher::wake()
 {
     m_configurationChanged.notify();
     m_vmListChanged.notify();
 }
 
-base::TimePoint ConfigurationKeeper::vmListAskedAt() const
+base::TimePoint ConfigurationFetcher::vmListRequestedAt() const
 {
-    return m_vmListAskedAt;
+    return m_vmListRequestedAt;
 }
 
-net::Awaitable<void> ConfigurationKeeper::configurationLoop()
+net::Awaitable<void> ConfigurationFetcher::configurationLoop()
 {
     while (!m_stopped) {
         const auto call = m_spread.configurationCall();
@@ -84,7 +84,7 @@
     }
 }
 
-net::Awaitable<void> ConfigurationKeeper::vmListLoop()
+net::Awaitable<void> ConfigurationFetcher::vmListLoop()
 {
     while (!m_stopped) {
         const auto call = m_spread.vmListCall();
@@ -99,7 +99,7 @@
     }
 }
 
-net::Awaitable<void> ConfigurationKeeper::readConfiguration(membership::PlatformCall call)
+net::Awaitable<void> ConfigurationFetcher::readConfiguration(membership::PlatformCall call)
 {
     try {
         const auto index = co_await m_platform.configuration(call.after, waitOf(call));
@@ -131,20 +131,20 @@
     }
 }
 
-net::Awaitable<void> ConfigurationKeeper::readVmList(membership::PlatformCall call)
+net::Awaitable<void> ConfigurationFetcher::readVmList(membership::PlatformCall call)
 {
-    const auto askedAt = m_context.clock.now();
+    const auto lastRequestedAt = m_context.clock.now();
     try {
         auto list = co_await m_platform.vms(call.after, waitOf(call));
         if (list) {
-            m_vmListAskedAt = askedAt;
+            m_vmListRequestedAt = lastRequestedAt;
             m_spread.platformVmList(std::move(*list));
         } else {
             // Unchanged at its end: the answer proves the list no longer than one empty watch ago.
-            m_vmListAskedAt = askedAt;
+            m_vmListRequestedAt = lastRequestedAt;
             m_spread.platformVmListUnchanged();
         }
-        m_context.tokens.applyVmList(m_context.vms, m_vmListAskedAt);
+        m_context.tokens.applyVmList(m_context.vms, m_vmListRequestedAt);
     } catch (const base::Error &error) {
         PAPAYASTEP_LOG(WARNING, logPrefix) << "Could not read the VM list." << base::field("code", number(error.code()))
                                            << base::field("detail", error.detail());
--- a/src/node/directorykeeper.cpp
+++ b/src/node/directoryupdater.cpp
@@ -1,4 +1,4 @@
-#include "papayastep/node/directorykeeper.h"
+#include "papayastep/node/directoryupdater.h"
 
 #include "papayastep/base/error.h"
 #include "papayastep/base/log.h"
@@ -24,9 +24,9 @@
 
 }
 
-DirectoryKeeper::DirectoryKeeper(NodeContext &context,
-                                 membership::ServerDirectory &directory,
-                                 net::ServerSource &source)
+DirectoryUpdater::DirectoryUpdater(NodeContext &context,
+                                   membership::ServerDirectory &directory,
+                                   net::ServerSource &source)
     : m_context(context)
     , m_directory(directory)
     , m_source(source)
@@ -35,32 +35,32 @@
 {
 }
 
-void DirectoryKeeper::start(std::function<void(base::Revision published, bool changed)> answered)
+void DirectoryUpdater::start(std::function<void(base::Revision published, bool changed)> answered)
 {
-    m_answered = std::move(answered);
+    m_onAnswer = std::move(answered);
     net::spawnDuty(m_context.io, "directory", [this] { return loop(); });
 }
 
-void DirectoryKeeper::stop()
+void DirectoryUpdater::stop()
 {
     m_stopped = true;
 }
 
-base::TimePoint DirectoryKeeper::askedAt() const
+base::TimePoint DirectoryUpdater::lastRequestedAt() const
 {
-    return m_askedAt;
+    return m_lastRequestedAt;
 }
 
-net::Awaitable<void> DirectoryKeeper::loop()
+net::Awaitable<void> DirectoryUpdater::loop()
 {
     while (!m_stopped) {
         if (isCovered()) {
-            askForRevision();
+            requestMissingRevision();
             co_await pause(coveredPause);
             continue;
         }
         base::Duration wait{};
-        const base::TimePoint askedAt = m_context.clock.now();
+        const base::TimePoint lastRequestedAt = m_context.clock.now();
         try {
             co_await readOnce();
             wait = m_schedule.answered(m_relay.isReader(), m_directory.anyMissing());
@@ -74,16 +74,16 @@
             PAPAYASTEP_LOG(WARNING, logPrefix)
                 << "Could not read the directory of backend servers." << base::field("code", number(error.code()))
                 << base::field("detail", error.detail()) << base::field("failures", m_schedule.failures())
-                << base::field("tookMs", milliseconds(m_context.clock.now() - askedAt))
+                << base::field("tookMs", milliseconds(m_context.clock.now() - lastRequestedAt))
                 << base::field("againInMs", milliseconds(wait));
         }
         co_await pause(wait);
     }
 }
 
-net::Awaitable<void> DirectoryKeeper::readOnce()
+net::Awaitable<void> DirectoryUpdater::readOnce()
 {
-    const base::TimePoint askedAt = m_context.clock.now();
+    const base::TimePoint lastRequestedAt = m_context.clock.now();
     const membership::DirectorySchedule::Call call = m_schedule.next(m_directory.isKnown());
     membership::ServerNews news;
     if (call.list) {
@@ -91,19 +91,19 @@
     } else {
         news = co_await m_source.watchServers(m_directory.version(), call.wait);
     }
-    m_askedAt = askedAt;
+    m_lastRequestedAt = lastRequestedAt;
     const bool changed = m_directory.apply(news);
     m_relay.noteAnswer(news);
-    m_answered(news.publishedRevision, changed || call.list);
-    sendNews();
+    m_onAnswer(news.publishedRevision, changed || call.list);
+    sendUpdates();
 }
 
-void DirectoryKeeper::applyVms(const std::vector<base::VmId> &present)
+void DirectoryUpdater::applyVms(const std::vector<base::VmId> &present)
 {
     m_relay.applyVms(present);
 }
 
-void DirectoryKeeper::receive(const membership::DirectoryNews &message)
+void DirectoryUpdater::receive(const membership::DirectoryNews &message)
 {
     if (!m_directory.isKnown()) {
         return;
@@ -113,47 +113,47 @@
         return;
     }
     const base::TimePoint answeredAt = m_context.clock.now() - std::chrono::milliseconds(message.answeredAgoMs);
-    m_askedAt = std::max(m_askedAt, answeredAt);
+    m_lastRequestedAt = std::max(m_lastRequestedAt, answeredAt);
     m_revisionPatience.noteHeard(news->publishedRevision, m_context.clock.now());
     if (m_directory.apply(*news, answeredAt)) {
-        m_answered(0, true);
+        m_onAnswer(0, true);
     }
 }
 
-void DirectoryKeeper::sendNews()
+void DirectoryUpdater::sendUpdates()
 {
     for (const wire::Outgoing &message : m_relay.takeMessages()) {
         m_context.send(message);
     }
 }
 
-std::optional<base::TimePoint> DirectoryKeeper::nextTick() const
+std::optional<base::TimePoint> DirectoryUpdater::nextTick() const
 {
     return m_relay.nextTick();
 }
 
 /// Whether the news of others are fresh enough to do without the platform.
-bool DirectoryKeeper::isCovered() const
+bool DirectoryUpdater::isCovered() const
 {
     return !m_relay.isReader() && m_directory.isKnown() && !m_schedule.mustList()
         && m_context.clock.now() < m_relay.coveredUntil();
 }
 
-void DirectoryKeeper::askForRevision()
+void DirectoryUpdater::requestMissingRevision()
 {
-    const auto &configuration = m_context.inForce.configuration;
-    const base::Revision inForce = configuration ? configuration->revision() : 0;
-    if (!m_revisionPatience.isOver(inForce, m_context.clock.now())) {
+    const auto &configuration = m_context.active.configuration;
+    const base::Revision active = configuration ? configuration->revision() : 0;
+    if (!m_revisionPatience.isOver(active, m_context.clock.now())) {
         return;
     }
     m_revisionPatience.noteAsked(m_context.clock.now());
     const base::Revision heard = m_revisionPatience.newestHeard();
     PAPAYASTEP_LOG(WARNING, logPrefix) << "No peer brought a revision in time; reading it from the platform."
-                                       << base::field("heard", heard) << base::field("revision", inForce);
-    m_answered(heard, false);
+                                       << base::field("heard", heard) << base::field("revision", active);
+    m_onAnswer(heard, false);
 }
 
-net::Awaitable<void> DirectoryKeeper::pause(base::Duration duration)
+net::Awaitable<void> DirectoryUpdater::pause(base::Duration duration)
 {
     net::asio::steady_timer timer(m_context.io, duration);
     net::beast::error_code ignored;
--- a/src/node/directorykeeper_test.cpp
+++ b/src/node/directoryupdater_test.cpp
@@ -1,5 +1,5 @@
 #include "papayastep/net/task.h"
-#include "papayastep/node/directorykeeper.h"
+#include "papayastep/node/directoryupdater.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -49,23 +49,23 @@
     return settings;
 }
 
-struct DirectoryKeeperFixture
+struct DirectoryUpdaterFixture
 {
     base::SystemClock clock;
     net::asio::io_context io{1};
     node::NodeContext context{io, clock, testSettings(), node::Interfaces{}, 1};
     membership::ServerDirectory directory{clock};
     FailsOnce source{io};
-    node::DirectoryKeeper keeper{context, directory, source};
+    node::DirectoryUpdater updater{context, directory, source};
 };
 
 }
 
 // One read of the directory fails in a way that nobody foresaw. The coroutine that watches it ended without a word: the
 // node went on with the servers that it knew, sent requests to those that had left, and never learned of new ones.
-BOOST_FIXTURE_TEST_CASE(directory_readFailsUnforeseen_isReadAgain, DirectoryKeeperFixture)
+BOOST_FIXTURE_TEST_CASE(directory_readFailsUnforeseen_isReadAgain, DirectoryUpdaterFixture)
 {
-    keeper.start([](base::Revision, bool) {});
+    updater.start([](base::Revision, bool) {});
     io.run_for(std::chrono::seconds(10));
     BOOST_TEST(source.reads() == 2);
     BOOST_TEST(net::taskFaults(io).count() == 1U);
--- a/src/node/entryhandler.cpp
+++ b/src/node/entryhandler.cpp
@@ -20,13 +20,13 @@
 net::WholeAnswer EntryHandler::refusal(base::ResultCode code, const std::string &detail)
 {
     m_context.metrics.countRequest({{}, false, routing::name(routing::Outcome::NotRun), code, {}});
-    return m_context.callers().refusal(notRun(code), {}, detail);
+    return m_context.callers().refusal(notRunRefusal(code), {}, detail);
 }
 
 void EntryHandler::deliver(const limits::AdmissionDecision &decision)
 {
-    const auto found = m_open.find(decision.request);
-    if (found != m_open.end()) {
+    const auto found = m_openRequests.find(decision.request);
+    if (found != m_openRequests.end()) {
         found->second->admissionDecided(decision.admission);
         return;
     }
@@ -38,8 +38,8 @@
 
 void EntryHandler::deliver(const routing::LedgerDecision &decision)
 {
-    const auto found = m_open.find(decision.request);
-    if (found != m_open.end()) {
+    const auto found = m_openRequests.find(decision.request);
+    if (found != m_openRequests.end()) {
         found->second->ledgerDecided(decision.answer);
     } else if (decision.answer.verdict == routing::ClaimVerdict::Run) {
         m_context.ledgerClient.completeNotRun(decision.request);
@@ -48,17 +48,17 @@
 
 void EntryHandler::deliver(const base::RequestId &recorded)
 {
-    const auto found = m_open.find(recorded);
-    if (found != m_open.end()) {
+    const auto found = m_openRequests.find(recorded);
+    if (found != m_openRequests.end()) {
         found->second->ledgerRecorded();
     }
 }
 
-void EntryHandler::deliver(const wire::CancelResult &result, const Proof &proven)
+void EntryHandler::deliver(const wire::CancelResult &result, const CancelAnswerVerifier &proven)
 {
-    const auto found = m_open.find({result.requestHigh, result.requestLow});
+    const auto found = m_openRequests.find({result.requestHigh, result.requestLow});
     const bool known = result.answer <= static_cast<std::uint8_t>(routing::CancelAnswer::NoPromise);
-    if (found != m_open.end() && known) {
+    if (found != m_openRequests.end() && known) {
         found->second->cancelAnswered(
             static_cast<int>(result.attempt), static_cast<routing::CancelAnswer>(result.answer), proven);
     }
@@ -66,22 +66,22 @@
 
 void EntryHandler::deliver(const wire::SlotOffer &offer)
 {
-    const auto found = m_open.find({offer.requestHigh, offer.requestLow});
-    if (found != m_open.end()) {
+    const auto found = m_openRequests.find({offer.requestHigh, offer.requestLow});
+    if (found != m_openRequests.end()) {
         found->second->slotOffered(offer);
     }
 }
 
 void EntryHandler::expireAll()
 {
-    for (const auto &[id, request] : m_open) {
+    for (const auto &[id, request] : m_openRequests) {
         request->expire();
     }
 }
 
-std::size_t EntryHandler::open() const
+std::size_t EntryHandler::openRequests() const
 {
-    return m_open.size();
+    return m_openRequests.size();
 }
 
 }
--- a/src/node/entryrequest.cpp
+++ b/src/node/entryrequest.cpp
@@ -45,11 +45,11 @@
     , m_id(m_context.newRequestId())
     , m_arrived(m_context.clock.now())
     , m_changed(m_context.io)
-    , m_choice(m_context, handler.m_serving, m_id, m_changed)
-    , m_watch(m_context, m_changed)
-    , m_inForce(m_context.inForce)
+    , m_serverSelector(m_context, handler.m_serving, m_id, m_changed)
+    , m_attemptMonitor(m_context, m_changed)
+    , m_active(m_context.active)
 {
-    m_handler.m_open[m_id] = this;
+    m_handler.m_openRequests[m_id] = this;
 }
 
 EntryRequest::~EntryRequest()
@@ -58,7 +58,7 @@
         // Whatever cut this request short, its run may have happened: the key must not become free again.
         m_context.ledgerClient.completeUnknown(m_id);
     }
-    m_handler.m_open.erase(m_id);
+    m_handler.m_openRequests.erase(m_id);
 }
 
 net::Awaitable<void> EntryRequest::run()
@@ -83,7 +83,7 @@
             co_return;
         }
         if (m_claim && m_claim->verdict == routing::ClaimVerdict::Answer) {
-            co_await passStoredAnswer();
+            co_await sendStoredAnswer();
             co_return;
         }
     }
@@ -115,20 +115,23 @@
 
 void EntryRequest::slotOffered(const wire::SlotOffer &offer)
 {
-    m_choice.slotOffered(offer);
+    m_serverSelector.slotOffered(offer);
 }
 
-void EntryRequest::cancelAnswered(int attempt, routing::CancelAnswer answer, const EntryHandler::Proof &proven)
+void EntryRequest::cancelAnswered(int attempt,
+                                  routing::CancelAnswer answer,
+                                  const EntryHandler::CancelAnswerVerifier &proven)
 {
-    if (m_watch.attempt() != nullptr && static_cast<int>(m_watch.attempt()->hop().attempt) == attempt) {
-        m_watch.attempt()->cancelAnswered(proven(answer, m_watch.attempt()->startedAt()));
+    if (m_attemptMonitor.attempt() != nullptr
+        && static_cast<int>(m_attemptMonitor.attempt()->hop().attempt) == attempt) {
+        m_attemptMonitor.attempt()->cancelAnswered(proven(answer, m_attemptMonitor.attempt()->startedAt()));
     }
 }
 
 net::Awaitable<EntryRequest::Step> EntryRequest::prepare()
 {
     if (m_context.draining) {
-        co_return notRun(ResultCode::NodeDraining);
+        co_return notRunRefusal(ResultCode::NodeDraining);
     }
     Step refused;
     try {
@@ -136,7 +139,7 @@
         m_isCall = mayBeCall();
         refused = identify();
     } catch (const base::Error &error) {
-        refused = notRun(error.code());
+        refused = notRunRefusal(error.code());
     }
     if (!refused) {
         refused = co_await readBody();
@@ -150,24 +153,24 @@
 /// A backend server of this VM sends its calls here, like any caller, and without a key.
 bool EntryRequest::mayBeCall() const
 {
-    return m_caller.key.empty() && m_caller.patience
-        && m_handler.m_serving.runCalls().mayBeCall(m_arrived + *m_caller.patience);
+    return m_caller.key.empty() && m_caller.timeout
+        && m_handler.m_serving.runCalls().mayBeCall(m_arrived + *m_caller.timeout);
 }
 
-void EntryRequest::noteFailedCall()
+void EntryRequest::reportFailedCall()
 {
     if (m_isCall) {
-        m_handler.m_serving.runCalls().callFailed(m_arrived + *m_caller.patience);
+        m_handler.m_serving.runCalls().callFailed(m_arrived + *m_caller.timeout);
     }
 }
 
 EntryRequest::Step EntryRequest::identify()
 {
-    if (!m_inForce.configuration) {
-        return notRun(ResultCode::NodeNotReady);
+    if (!m_active.configuration) {
+        return notRunRefusal(ResultCode::NodeNotReady);
     }
     const net::RequestHead &head = m_exchange.head();
-    const auto match = m_inForce.routes->match(
+    const auto match = m_active.routes->match(
         net::view(head[net::http::field::host]), net::view(head.method_string()), net::view(head.target()));
     m_workspace = {};
     m_fingerprint.clear();
@@ -177,40 +180,40 @@
         }
     }
     if (!match) {
-        return notRun(ResultCode::RouteUnknown);
+        return notRunRefusal(ResultCode::RouteUnknown);
     }
-    takeRoute(*match);
+    applyRoute(*match);
     return std::nullopt;
 }
 
 EntryRequest::Step EntryRequest::identifyWorkspace()
 {
     if (m_caller.key.empty()) {
-        return notRun(ResultCode::KeyMissing);
+        return notRunRefusal(ResultCode::KeyMissing);
     }
     const config::KeyFingerprint fingerprint = config::fingerprintOf(m_caller.key);
-    const config::Workspace *workspace = m_inForce.configuration->workspaceOfKey(fingerprint);
+    const config::Workspace *workspace = m_active.configuration->workspaceOfKey(fingerprint);
     if (workspace == nullptr) {
-        return notRun(ResultCode::KeyUnknown);
+        return notRunRefusal(ResultCode::KeyUnknown);
     }
     m_fingerprint = fingerprint.toString();
     m_workspace = workspace->id;
     return std::nullopt;
 }
 
-void EntryRequest::takeRoute(const routing::RouteMatch &match)
+void EntryRequest::applyRoute(const routing::RouteMatch &match)
 {
     m_route = match.route;
     m_progress.service = routing::chooseService(*m_route, m_context.random);
     m_progress.workspace = m_workspace;
     m_progress.idempotent = match.idempotent;
     m_progress.maxAttempts = m_route->maxAttempts;
-    m_progress.deadline = m_arrived + std::min(m_route->deadline, m_caller.patience.value_or(m_route->deadline));
+    m_progress.deadline = m_arrived + std::min(m_route->deadline, m_caller.timeout.value_or(m_route->deadline));
     if (match.idempotent) {
         m_caller.idempotencyKey.clear();
     }
     m_progress.hasIdempotencyKey = !m_caller.idempotencyKey.empty();
-    const config::Workspace *workspace = m_inForce.configuration->workspace(m_workspace);
+    const config::Workspace *workspace = m_active.configuration->workspace(m_workspace);
     m_priority = workspace != nullptr ? workspace->priority.value_or(m_route->priority) : m_route->priority;
 }
 
@@ -219,11 +222,11 @@
     try {
         m_body = co_await m_exchange.readBody();
     } catch (const base::Error &error) {
-        co_return notRun(error.code());
+        co_return notRunRefusal(error.code());
     }
     // A slow body leaves time for a key to be withdrawn, so the configuration is looked at again.
-    if (m_context.inForce.configuration != m_inForce.configuration) {
-        m_inForce = m_context.inForce;
+    if (m_context.active.configuration != m_active.configuration) {
+        m_active = m_context.active;
         co_return identify();
     }
     co_return std::nullopt;
@@ -231,7 +234,7 @@
 
 net::Awaitable<EntryRequest::Step> EntryRequest::takeToken()
 {
-    const config::Workspace *workspace = m_inForce.configuration->workspace(m_workspace);
+    const config::Workspace *workspace = m_active.configuration->workspace(m_workspace);
     if (workspace == nullptr || !workspace->isLimited()) {
         co_return std::nullopt;
     }
@@ -244,19 +247,19 @@
             admission = *m_admission;
         } else if (m_context.clock.now() >= m_progress.deadline) {
             m_context.tokens.cancelWaiting(m_id);
-            co_return notRun(ResultCode::RateExceeded);
+            co_return notRunRefusal(ResultCode::RateExceeded);
         }
     }
     if (const auto *refused = std::get_if<limits::Refused>(&admission)) {
         m_tokensRefusedBy = refused->silent ? "nobody-answered" : refused->by.value();
-        co_return notRun(refused->code, refused->retryAfter);
+        co_return notRunRefusal(refused->code, refused->retryAfter);
     }
     m_token = std::get<limits::Admitted>(admission).token;
     co_return std::nullopt;
 }
 
 /// A token pays for one attempt that may reach a backend server; one proved never to have run keeps its token.
-net::Awaitable<EntryRequest::Step> EntryRequest::payRepeat()
+net::Awaitable<EntryRequest::Step> EntryRequest::takeRetryToken()
 {
     const bool spent = m_token && m_context.tokens.chargesRepeats()
         && (m_progress.mayHaveRun || m_context.clock.now() >= m_token->usableUntil);
@@ -284,7 +287,7 @@
         co_await m_changed.waitUntil(m_progress.deadline + std::chrono::seconds(1));
         if (!m_claim && m_context.clock.now() >= m_progress.deadline) {
             m_context.ledgerClient.abandon(m_id);
-            co_return notRun(ResultCode::IdempotencyHomeUnreachable);
+            co_return notRunRefusal(ResultCode::IdempotencyHomeUnreachable);
         }
     }
     const bool claimRefused = m_claim->verdict == routing::ClaimVerdict::Refuse;
@@ -309,25 +312,25 @@
         co_await refuse(*refused);
         co_return;
     }
-    while (m_watch.attempt() != nullptr) {
-        const routing::AttemptResult result = co_await m_watch.next(m_progress.deadline, m_callerGone);
+    while (m_attemptMonitor.attempt() != nullptr) {
+        const routing::AttemptResult result = co_await m_attemptMonitor.next(m_progress.deadline, m_callerGone);
         if (result.event == routing::AttemptEvent::AcknowledgedThenSilent && m_context.stopping) {
             // A planned stop must not break off what a server is at work on, and a repeat may find no place.
             continue;
         }
-        m_choice.noteResult(m_current, result, m_watch.advice());
+        m_serverSelector.recordResult(m_currentServer, result, m_attemptMonitor.advice());
         const routing::RetryDecision decision = m_context.retryPolicy.decide(m_progress, result);
         m_context.metrics.countAttempt(m_progress.service, routing::name(result.event));
         m_context.metrics.countRetryDecision(m_progress.service, routing::name(decision.action));
         if (result.event != routing::AttemptEvent::Complete) {
-            const wire::HopRequest &hop = m_watch.attempt()->hop();
+            const wire::HopRequest &hop = m_attemptMonitor.attempt()->hop();
             PAPAYASTEP_LOG(INFO, logPrefix)
                 << "Decided after an attempt." << base::field("request", shownId())
                 << base::field("attempt", hop.attempt) << base::field("server", hop.server)
                 << base::field("event", routing::name(result.event)) << base::field("code", number(result.code))
                 << base::field("action", routing::name(decision.action)) << base::field("reason", decision.reason);
         }
-        if (co_await act(decision)) {
+        if (co_await applyDecision(decision)) {
             co_return;
         }
     }
@@ -335,15 +338,15 @@
 
 net::Awaitable<EntryRequest::Step> EntryRequest::place()
 {
-    const ServerNeed need = serverNeed();
-    const auto choice = co_await m_choice.choose(need, m_callerGone);
+    const ServerRequirements need = serverRequirements();
+    const auto choice = co_await m_serverSelector.choose(need, m_callerGone);
     if (m_callerGone) {
         // Nothing is sent any more, and nobody is there to be told.
-        giveUp("The caller went away while a server was chosen.");
+        abandon("The caller went away while a server was chosen.");
         co_return std::nullopt;
     }
     if (const auto *none = std::get_if<NoServer>(&choice)) {
-        m_heard = none->heard;
+        m_surveyTally = none->surveyTally;
         co_return m_context.retryPolicy.refuseInstead(m_progress, none->code, none->retryAfter);
     }
     begin(std::get<ChosenServer>(choice));
@@ -352,24 +355,24 @@
 
 /// Leaves an attempt that hangs for another server, if one has room. It may still end well, so with no place to go the
 /// request stays where it is: in an overload 95 of 311 failures were lookups cut off for a repeat that found none.
-net::Awaitable<void> EntryRequest::moveOn()
+net::Awaitable<void> EntryRequest::moveToOtherServer()
 {
-    const ServerNeed need = serverNeed();
-    const auto choice = co_await m_choice.choose(need, m_callerGone);
+    const ServerRequirements need = serverRequirements();
+    const auto choice = co_await m_serverSelector.choose(need, m_callerGone);
     const auto *chosen = std::get_if<ChosenServer>(&choice);
     if (chosen == nullptr) {
-        m_heard = std::get<NoServer>(choice).heard;
-        logStay("No other server has room.");
+        m_surveyTally = std::get<NoServer>(choice).surveyTally;
+        logContinuedWait("No other server has room.");
         co_return;
     }
-    const Step unpaid = co_await payRepeat();
-    if (unpaid || m_callerGone || m_watch.attempt()->finished()) {
-        logStay(unpaid ? "No token is left for a repeat." : "It ended meanwhile.");
+    const Step unpaid = co_await takeRetryToken();
+    if (unpaid || m_callerGone || m_attemptMonitor.attempt()->finished()) {
+        logContinuedWait(unpaid ? "No token is left for a repeat." : "It ended meanwhile.");
         co_return;
     }
     m_machine.handle(RequestEvent::Retry);
-    m_watch.attempt()->requestCancel(true);
-    m_watch.abandon();
+    m_attemptMonitor.attempt()->requestCancel(true);
+    m_attemptMonitor.abandon();
     begin(*chosen);
 }
 
@@ -377,17 +380,17 @@
 {
     m_context.retryPolicy.beginAttempt(m_progress);
     auto attempt = makeAttempt(chosen);
-    m_current = chosen.candidate.server;
+    m_currentServer = chosen.candidate.server;
     m_machine.handle(RequestEvent::Place);
     m_context.metrics.countPlacement(m_progress.service, chosen.reason);
     logPlacement(chosen);
-    m_watch.begin(
-        std::move(attempt), m_context.retryPolicy.timeouts(m_progress, chosen.typicalLatency), forwardedRequest());
+    m_attemptMonitor.begin(
+        std::move(attempt), m_context.retryPolicy.timeouts(m_progress, chosen.medianLatency), forwardedRequest());
 }
 
-ServerNeed EntryRequest::serverNeed() const
+ServerRequirements EntryRequest::serverRequirements() const
 {
-    ServerNeed need;
+    ServerRequirements need;
     need.service = m_progress.service;
     need.workspace = m_workspace;
     need.route = m_route->id;
@@ -396,7 +399,7 @@
     need.deadline = m_progress.deadline;
     need.isCall = m_isCall;
     if (m_route->targetLatency > base::Duration::zero()) {
-        need.wanted = m_arrived + m_route->targetLatency;
+        need.targetTime = m_arrived + m_route->targetLatency;
     }
     return need;
 }
@@ -415,11 +418,11 @@
     hop.keyFingerprint = m_fingerprint;
     hop.server = server.server;
     hop.route = m_route->id;
-    hop.revision = m_inForce.configuration->revision();
+    hop.revision = m_active.configuration->revision();
     hop.remaining = (m_progress.deadline - now).count();
     hop.sent = now.time_since_epoch().count();
     hop.idempotent = m_progress.idempotent;
-    hop.redirected = chosen.byAdvice;
+    hop.redirected = chosen.followsAdvice;
     hop.callerService = m_context.settings.service;
     hop.callerId = m_caller.id;
     hop.priority = static_cast<std::uint8_t>(m_priority);
@@ -451,20 +454,20 @@
     return request;
 }
 
-net::Awaitable<bool> EntryRequest::act(const routing::RetryDecision &decision)
+net::Awaitable<bool> EntryRequest::applyDecision(const routing::RetryDecision &decision)
 {
     switch (decision.action) {
     case routing::RetryAction::AnswerCaller:
-        co_await passAnswer();
+        co_await forwardAnswer();
         co_return true;
     case routing::RetryAction::RetryElsewhere:
         co_return co_await retry(decision);
     case routing::RetryAction::CancelFirst:
         m_machine.handle(RequestEvent::Cancel);
-        m_watch.beginCancel(m_progress.idempotent);
+        m_attemptMonitor.beginCancel(m_progress.idempotent);
         co_return false;
     case routing::RetryAction::Wait:
-        if (m_watch.attempt()->finished()) {
+        if (m_attemptMonitor.attempt()->finished()) {
             // Nothing more will be heard of it, and nothing proves that it did not run.
             m_progress.mayHaveRun = true;
             co_await refuse(m_context.retryPolicy.refuseInstead(m_progress, ResultCode::OutcomeUnknown, {}));
@@ -476,8 +479,8 @@
         co_await refuse(decision.refusal);
         co_return true;
     case routing::RetryAction::BreakOff:
-        giveUp(decision.reason);
-        m_watch.abandon();
+        abandon(decision.reason);
+        m_attemptMonitor.abandon();
         co_return true;
     }
     co_return true;
@@ -486,12 +489,12 @@
 net::Awaitable<bool> EntryRequest::retry(const routing::RetryDecision &decision)
 {
     if (decision.cancelPrevious) {
-        co_await moveOn();
+        co_await moveToOtherServer();
         co_return false;
     }
     m_machine.handle(RequestEvent::Retry);
-    m_watch.abandon();
-    Step refused = co_await payRepeat();
+    m_attemptMonitor.abandon();
+    Step refused = co_await takeRetryToken();
     if (refused) {
         co_await refuse(m_context.retryPolicy.refuseInstead(m_progress, refused->code, refused->retryAfter));
         co_return true;
@@ -504,10 +507,10 @@
     co_return false;
 }
 
-net::Awaitable<void> EntryRequest::passStoredAnswer()
+net::Awaitable<void> EntryRequest::sendStoredAnswer()
 {
     m_machine.handle(RequestEvent::Answer);
-    countEnd(EndedRequest::answeredOutcome, ResultCode::Ok);
+    countOutcome(EndedRequest::answeredOutcome, ResultCode::Ok);
     net::ResponseHead head;
     head.result(static_cast<unsigned>(m_claim->answer.status));
     for (const auto &[name, value] : m_claim->answer.headers) {
@@ -522,36 +525,36 @@
     co_await send(std::move(repeated));
 }
 
-net::Awaitable<void> EntryRequest::passAnswer()
+net::Awaitable<void> EntryRequest::forwardAnswer()
 {
     m_machine.handle(RequestEvent::Answer);
-    ServedAnswer answer = std::move(m_watch.release()->answer());
+    ServedAnswer answer = std::move(m_attemptMonitor.release()->answer());
     if (m_claimed) {
         reportAnswerToLedger(answer);
-        co_await awaitRecord();
+        co_await waitForLedgerRecord();
     }
     net::ResponseHead head;
     head.result(answer.head.result_int());
     net::copyEndToEnd(answer.head, head);
     m_context.callers().annotate(head, shownId(), answer.reply.server);
     if (net::http::to_status_class(head.result_int()) != net::http::status_class::successful) {
-        noteFailedCall();
+        reportFailedCall();
     }
     logAnswer(answer.head.result_int(), answer.reply.server);
-    if (answer.rest) {
-        co_await passLargeAnswer(answer, std::move(head));
+    if (answer.remainingBody) {
+        co_await forwardLargeAnswer(answer, std::move(head));
         co_return;
     }
-    countEnd(EndedRequest::answeredOutcome, ResultCode::Ok);
+    countOutcome(EndedRequest::answeredOutcome, ResultCode::Ok);
     net::WholeAnswer whole(std::move(head), std::move(answer.body));
     co_await send(std::move(whole));
 }
 
-net::Awaitable<void> EntryRequest::passLargeAnswer(ServedAnswer &answer, net::ResponseHead head)
+net::Awaitable<void> EntryRequest::forwardLargeAnswer(ServedAnswer &answer, net::ResponseHead head)
 {
     // A named result: GCC 12 destroys an argument by value twice when the co_await stands in a condition.
-    const bool whole = co_await passStream(m_exchange, answer, std::move(head));
-    countEnd(whole ? EndedRequest::answeredOutcome : EndedRequest::brokenOffOutcome, ResultCode::Ok);
+    const bool whole = co_await forwardStream(m_exchange, answer, std::move(head));
+    countOutcome(whole ? EndedRequest::answeredOutcome : EndedRequest::brokenOffOutcome, ResultCode::Ok);
     if (!whole) {
         PAPAYASTEP_LOG(INFO, logPrefix) << "Broke an answer off." << base::field("request", shownId())
                                         << base::field("server", answer.reply.server);
@@ -562,8 +565,8 @@
 {
     const bool notRun = refusal.outcome == routing::Outcome::NotRun;
     m_machine.handle(notRun ? RequestEvent::Refuse : RequestEvent::LoseTrack);
-    m_watch.abandon();
-    noteFailedCall();
+    m_attemptMonitor.abandon();
+    reportFailedCall();
     if (notRun && m_token) {
         m_context.tokens.giveBack(*m_token);
     }
@@ -572,7 +575,7 @@
     // is away. A repeat that overtakes the report is told to come again.
     reportToLedger(refusal);
     m_context.schedulePump();
-    countEnd(routing::name(refusal.outcome), refusal.code);
+    countOutcome(routing::name(refusal.outcome), refusal.code);
     logRefusal(refusal);
     net::WholeAnswer answer = m_context.callers().refusal(refusal, shownId(), {});
     co_await send(std::move(answer));
@@ -587,15 +590,15 @@
     }
 }
 
-void EntryRequest::giveUp(std::string_view reason) const
+void EntryRequest::abandon(std::string_view reason) const
 {
-    countEnd(EndedRequest::givenUpOutcome, ResultCode::Ok);
+    countOutcome(EndedRequest::givenUpOutcome, ResultCode::Ok);
     PAPAYASTEP_LOG(INFO, logPrefix) << "Gave a request up." << base::field("request", shownId())
                                     << base::field("reason", reason) << base::field("attempts", m_progress.tries)
                                     << base::field("tookMs", milliseconds(m_context.clock.now() - m_arrived));
 }
 
-void EntryRequest::countEnd(std::string_view outcome, ResultCode code) const
+void EntryRequest::countOutcome(std::string_view outcome, ResultCode code) const
 {
     const auto took = m_context.clock.now() - m_arrived;
     m_context.metrics.countRequest({m_progress.service, m_progress.idempotent, outcome, code, took});
@@ -610,18 +613,18 @@
                                     << base::field("hop", m_id) << base::field("attempt", m_progress.tries)
                                     << base::field("workspace", m_workspace) << base::field("route", m_route->id)
                                     << base::field("server", server.server) << base::field("vm", server.vm)
-                                    << base::field("reason", chosen.reason) << base::field("asked", chosen.asked)
+                                    << base::field("reason", chosen.reason) << base::field("asked", chosen.nodesAsked)
                                     << base::field("quotedMs", milliseconds(server.quoted.value_or(base::Duration(0))))
                                     << base::field("slotsInUse", server.slotsInUse)
                                     << base::field("queued", server.queueLength)
                                     << base::field("grayPercent", std::lround(100 * server.failureRisk))
                                     << base::field("ageMs", milliseconds(server.freshness))
-                                    << base::field("revision", m_inForce.configuration->revision())
+                                    << base::field("revision", m_active.configuration->revision())
                                     << base::field("leftMs", milliseconds(left));
-    if (chosen.lastResort && chosen.heard.asked > 0) {
+    if (chosen.lastResort && chosen.surveyTally.asked > 0) {
         PAPAYASTEP_LOG(INFO, logPrefix) << "Every server is full or held back as gray."
                                         << base::field("request", shownId()) << base::field("server", server.server)
-                                        << base::field("heard", chosen.heard);
+                                        << base::field("heard", chosen.surveyTally);
     }
 }
 
@@ -634,11 +637,12 @@
 }
 
 /// An attempt that is silent was to be repeated elsewhere, and is awaited instead.
-void EntryRequest::logStay(std::string_view reason) const
+void EntryRequest::logContinuedWait(std::string_view reason) const
 {
     PAPAYASTEP_LOG(INFO, logPrefix) << "Stays with a silent attempt." << base::field("request", shownId())
-                                    << base::field("attempt", m_progress.tries) << base::field("server", m_current)
-                                    << base::field("reason", reason) << base::field("heard", m_heard);
+                                    << base::field("attempt", m_progress.tries)
+                                    << base::field("server", m_currentServer) << base::field("reason", reason)
+                                    << base::field("heard", m_surveyTally);
 }
 
 /// Refusals that are proved not to have run come by the hundred in an overload and are summed up; one whose outcome is
@@ -646,27 +650,28 @@
 void EntryRequest::logRefusal(const routing::Refusal &refusal) const
 {
     const bool folds = refusal.outcome == routing::Outcome::NotRun;
-    if (folds && !m_context.refusals.note(refusal.code, shownId())) {
+    if (folds && !m_context.refusalLog.record(refusal.code, shownId())) {
         return;
     }
     PAPAYASTEP_LOG(WARNING, logPrefix) << "Refused a request." << base::field("request", shownId())
                                        << base::field("hop", m_id) << base::field("workspace", m_workspace)
                                        << base::field("code", number(refusal.code))
                                        << base::field("outcome", routing::name(refusal.outcome))
-                                       << base::field("server", m_current) << base::field("attempts", m_progress.tries)
+                                       << base::field("server", m_currentServer)
+                                       << base::field("attempts", m_progress.tries)
                                        << base::field("retryAfterMs", milliseconds(refusal.retryAfter))
                                        << base::field("tookMs", milliseconds(m_context.clock.now() - m_arrived))
-                                       << inputsOf(refusal);
+                                       << refusalDetails(refusal);
 }
 
 /// What a refusal went by, as fields of its line.
-std::string EntryRequest::inputsOf(const routing::Refusal &refusal) const
+std::string EntryRequest::refusalDetails(const routing::Refusal &refusal) const
 {
     std::ostringstream fields;
     if (refusal.code == ResultCode::RateExceeded) {
         fields << base::field("tokensRefusedBy", m_tokensRefusedBy);
-    } else if (m_heard.asked > 0) {
-        fields << base::field("heard", m_heard);
+    } else if (m_surveyTally.asked > 0) {
+        fields << base::field("heard", m_surveyTally);
     }
     return fields.str();
 }
@@ -688,7 +693,7 @@
 {
     m_claimed = false;
     m_context.schedulePump();
-    if (answer.rest) {
+    if (answer.remainingBody) {
         // The ledger keeps no large answers, but it must know that the request ran.
         m_context.ledgerClient.completeUnknown(m_id);
         return;
@@ -709,7 +714,7 @@
 /// A caller that has its answer may repeat at once through another node. Should the repeat overtake our report, it
 /// would be told that the first run has not ended; so the answer waits until the home has the report. A home that is
 /// away must not hold the answer back for long: the report is resent meanwhile.
-net::Awaitable<void> EntryRequest::awaitRecord()
+net::Awaitable<void> EntryRequest::waitForLedgerRecord()
 {
     const auto limit = std::min(m_progress.deadline, m_context.clock.now() + m_context.ledgerClient.recordPatience());
     while (m_context.ledgerClient.isReporting(m_id)) {
--- a/src/node/entryrequest.h
+++ b/src/node/entryrequest.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "attemptwatch.h"
-#include "serverchoice.h"
+#include "attemptmonitor.h"
+#include "serverselector.h"
 
 #include "papayastep/node/callerprotocol.h"
 #include "papayastep/node/entryhandler.h"
@@ -32,7 +32,7 @@
     void admissionDecided(const limits::Admission &admission);
     void ledgerDecided(const routing::ClaimAnswer &answer);
     void ledgerRecorded();
-    void cancelAnswered(int attempt, routing::CancelAnswer answer, const EntryHandler::Proof &proven);
+    void cancelAnswered(int attempt, routing::CancelAnswer answer, const EntryHandler::CancelAnswerVerifier &proven);
     void slotOffered(const wire::SlotOffer &offer);
 
 private:
@@ -41,40 +41,40 @@
 
     net::Awaitable<Step> prepare();
     bool mayBeCall() const;
-    void noteFailedCall();
+    void reportFailedCall();
     Step identify();
     Step identifyWorkspace();
-    void takeRoute(const routing::RouteMatch &match);
+    void applyRoute(const routing::RouteMatch &match);
     net::Awaitable<Step> readBody();
     net::Awaitable<Step> takeToken();
-    net::Awaitable<Step> payRepeat();
+    net::Awaitable<Step> takeRetryToken();
     net::Awaitable<Step> claimKey();
     net::Awaitable<void> runAttempts();
 
     net::Awaitable<Step> place();
-    ServerNeed serverNeed() const;
-    net::Awaitable<void> moveOn();
+    ServerRequirements serverRequirements() const;
+    net::Awaitable<void> moveToOtherServer();
     void begin(const ChosenServer &chosen);
     AttemptPtr makeAttempt(const ChosenServer &chosen);
     net::ClientRequest forwardedRequest() const;
-    net::Awaitable<bool> act(const routing::RetryDecision &decision);
+    net::Awaitable<bool> applyDecision(const routing::RetryDecision &decision);
     net::Awaitable<bool> retry(const routing::RetryDecision &decision);
 
-    net::Awaitable<void> passAnswer();
-    net::Awaitable<void> passStoredAnswer();
-    net::Awaitable<void> passLargeAnswer(ServedAnswer &answer, net::ResponseHead head);
+    net::Awaitable<void> forwardAnswer();
+    net::Awaitable<void> sendStoredAnswer();
+    net::Awaitable<void> forwardLargeAnswer(ServedAnswer &answer, net::ResponseHead head);
     net::Awaitable<void> refuse(routing::Refusal refusal);
     void logPlacement(const ChosenServer &chosen) const;
     void logAnswer(unsigned status, const base::BackendServerId &server) const;
     net::Awaitable<void> send(net::WholeAnswer answer);
-    std::string inputsOf(const routing::Refusal &refusal) const;
-    void logStay(std::string_view reason) const;
-    void giveUp(std::string_view reason) const;
-    void countEnd(std::string_view outcome, base::ResultCode code) const;
+    std::string refusalDetails(const routing::Refusal &refusal) const;
+    void logContinuedWait(std::string_view reason) const;
+    void abandon(std::string_view reason) const;
+    void countOutcome(std::string_view outcome, base::ResultCode code) const;
     void logRefusal(const routing::Refusal &refusal) const;
     void reportToLedger(const routing::Refusal &refusal);
     void reportAnswerToLedger(const ServedAnswer &answer);
-    net::Awaitable<void> awaitRecord();
+    net::Awaitable<void> waitForLedgerRecord();
     /// What the caller calls the request, or else our own id.
     std::string shownId() const;
 
@@ -84,12 +84,12 @@
     base::RequestId m_id;
     base::TimePoint m_arrived;
     net::Signal m_changed;
-    ServerChoice m_choice;
-    AttemptWatch m_watch;
+    ServerSelector m_serverSelector;
+    AttemptMonitor m_attemptMonitor;
     routing::RequestMachine m_machine;
     routing::RequestProgress m_progress;
 
-    InForce m_inForce; ///< Keeps the configuration of this request alive while it runs.
+    ActiveConfiguration m_active; ///< Keeps the configuration of this request alive while it runs.
     CallerRequest m_caller;
     std::string m_fingerprint;
     base::WorkspaceId m_workspace; ///< Empty on a public route.
@@ -103,8 +103,8 @@
     std::optional<routing::ClaimAnswer> m_claim;
     bool m_claimed = false; ///< The ledger was told that this request runs and waits for its end.
 
-    base::BackendServerId m_current; ///< Of the last attempt.
-    routing::SurveyTally m_heard; ///< When no server was found.
+    base::BackendServerId m_currentServer; ///< Of the last attempt.
+    routing::SurveyTally m_surveyTally; ///< When no server was found.
     std::string m_tokensRefusedBy; ///< A VM, or that none answered; empty: not known.
     bool m_callerGone = false;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< For callbacks that may come after the end.
--- a/src/node/hophandler.cpp
+++ b/src/node/hophandler.cpp
@@ -64,8 +64,9 @@
         pending->changed.notify();
     };
     net::spawnTask(m_context.io, "serve", std::move(serve));
-    exchange.watchClient(
-        [this, id = hop.requestId(), attempt = static_cast<int>(hop.attempt)] { m_serving.entryGone(id, attempt); });
+    exchange.watchClient([this, id = hop.requestId(), attempt = static_cast<int>(hop.attempt)] {
+        m_serving.entryDisconnected(id, attempt);
+    });
 
     // An answer that comes at once is its own acknowledgement; only a slower one costs a message of its own.
     const auto acknowledgeAt = m_context.clock.now() + m_context.settings.acknowledgeAfter;
@@ -82,12 +83,12 @@
         }
         co_await pending->changed.waitUntil(m_context.clock.now() + std::chrono::hours(1));
     }
-    co_await pass(exchange, std::move(*pending->answer));
+    co_await forwardAnswer(exchange, std::move(*pending->answer));
 }
 
 net::WholeAnswer HopHandler::refusal(base::ResultCode code, const std::string &detail)
 {
-    return refusalAnswer(notRun(code), {}, detail);
+    return refusalAnswer(notRunRefusal(code), {}, detail);
 }
 
 net::Awaitable<bool> HopHandler::authenticate(net::ServerExchange &exchange, wire::HopRequest &hop, std::string &body)
@@ -114,7 +115,7 @@
     co_return false;
 }
 
-net::Awaitable<void> HopHandler::pass(net::ServerExchange &exchange, ServedAnswer answer)
+net::Awaitable<void> HopHandler::forwardAnswer(net::ServerExchange &exchange, ServedAnswer answer)
 {
     net::ResponseHead head;
     net::copyEndToEnd(answer.head, head);
@@ -126,12 +127,12 @@
         co_return;
     }
     head.result(answer.head.result_int());
-    if (!answer.rest) {
+    if (!answer.remainingBody) {
         net::WholeAnswer whole(std::move(head), std::move(answer.body));
         co_await exchange.answer(std::move(whole));
         co_return;
     }
-    co_await passStream(exchange, answer, std::move(head));
+    co_await forwardStream(exchange, answer, std::move(head));
 }
 
 }
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -22,7 +22,7 @@
 // The libraries' own initialisation runs before main(), and a signal that comes in it would end the process. Only here
 // it can be preceded.
 [[gnu::section(".preinit_array"), gnu::used]] void (*const holdBackBeforeInitialisation)()
-    = papayastep::node::holdBackSignals;
+    = papayastep::node::blockSignals;
 
 namespace options = boost::program_options;
 using papayastep::base::Error;
@@ -88,7 +88,7 @@
     if (settings.interfaces == papayastep::node::InterfaceChoice::Platform) {
         return papayastep::platform::interfaces(io, clock, settings);
     }
-    return papayastep::node::ownInterfaces(io, clock, settings);
+    return papayastep::node::nativeInterfaces(io, clock, settings);
 }
 
 void react(papayastep::node::Node &node, papayastep::node::SignalRequest request, int signal)
@@ -101,7 +101,7 @@
     case SignalRequest::Reload:
         node.requestReload();
         break;
-    case SignalRequest::Nothing:
+    case SignalRequest::Ignore:
         PAPAYASTEP_LOG(WARNING, "node") << "Ignored a signal." << papayastep::base::field("signal", signal);
         break;
     }
@@ -114,11 +114,11 @@
     const papayastep::base::SystemClock clock;
     papayastep::base::LogOutput log(STDOUT_FILENO, clock);
     log.install();
-    papayastep::node::SettingsKeeper keeper(line.settingsFile, line.overrides);
-    auto settings = keeper.first();
+    papayastep::node::SettingsReloader settingsReloader(line.settingsFile, line.overrides);
+    auto settings = settingsReloader.load();
     auto interfaces = interfacesOf(io, clock, settings);
     papayastep::node::Node node(
-        io, clock, std::move(keeper), std::move(settings), std::move(interfaces), log, randomSeed());
+        io, clock, std::move(settingsReloader), std::move(settings), std::move(interfaces), log, randomSeed());
     signals.watch([&node](papayastep::node::SignalRequest request, int signal) { react(node, request, signal); });
     papayastep::net::runLoop(io);
 }
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -53,68 +53,68 @@
     const std::string &service = serviceLabel(request.service);
     const std::string code = std::to_string(number(request.code));
     const std::string_view kind = request.idempotent ? "idempotent" : "other";
-    m_requests.of({service, kind, request.outcome, code}).Increment();
-    m_requestSeconds.of({service, request.outcome}, secondsBuckets).Observe(seconds(request.took));
+    m_requests.withLabels({service, kind, request.outcome, code}).Increment();
+    m_requestSeconds.withLabels({service, request.outcome}, secondsBuckets).Observe(seconds(request.duration));
 }
 
 void NodeMetrics::countAttempt(const base::ServiceId &service, std::string_view event)
 {
-    m_attempts.of({serviceLabel(service), event}).Increment();
+    m_attempts.withLabels({serviceLabel(service), event}).Increment();
 }
 
 void NodeMetrics::countRetryDecision(const base::ServiceId &service, std::string_view action)
 {
-    m_retryDecisions.of({serviceLabel(service), action}).Increment();
+    m_retryDecisions.withLabels({serviceLabel(service), action}).Increment();
 }
 
 void NodeMetrics::countPlacement(const base::ServiceId &service, std::string_view reason)
 {
-    m_placements.of({serviceLabel(service), reason}).Increment();
+    m_placements.withLabels({serviceLabel(service), reason}).Increment();
 }
 
 void NodeMetrics::observeQueueWait(const base::ServiceId &service, base::Duration wait)
 {
-    m_queueWait.of({serviceLabel(service)}, secondsBuckets).Observe(seconds(wait));
+    m_queueWait.withLabels({serviceLabel(service)}, secondsBuckets).Observe(seconds(wait));
 }
 
 void NodeMetrics::countServed(const ServedAttempt &attempt)
 {
     const std::string &service = serviceLabel(attempt.service);
-    m_served.of({service, attempt.outcome}).Increment();
-    m_slotHeld.of({service}, secondsBuckets).Observe(seconds(attempt.held));
+    m_served.withLabels({service, attempt.outcome}).Increment();
+    m_slotHeld.withLabels({service}, secondsBuckets).Observe(seconds(attempt.slotHeldTime));
 }
 
 void NodeMetrics::countRefusedAttempt(base::ResultCode code)
 {
-    m_refusedAttempts.of({std::to_string(number(code))}).Increment();
+    m_refusedAttempts.withLabels({std::to_string(number(code))}).Increment();
 }
 
 void NodeMetrics::countCancel(std::string_view answer)
 {
-    m_cancels.of({answer}).Increment();
+    m_cancels.withLabels({answer}).Increment();
 }
 
 void NodeMetrics::countHold(const base::ServiceId &service, std::string_view evidence)
 {
-    m_holds.of({serviceLabel(service), evidence}).Increment();
+    m_holds.withLabels({serviceLabel(service), evidence}).Increment();
 }
 
 void NodeMetrics::countReturn(const base::ServiceId &service)
 {
-    m_returns.of({serviceLabel(service)}).Increment();
+    m_returns.withLabels({serviceLabel(service)}).Increment();
 }
 
 void NodeMetrics::countHealthEvent(std::string_view event)
 {
-    m_healthEvents.of({event}).Increment();
+    m_healthEvents.withLabels({event}).Increment();
 }
 
 void NodeMetrics::countReload(std::string_view result)
 {
-    m_reloads.of({result}).Increment();
+    m_reloads.withLabels({result}).Increment();
 }
 
-void NodeMetrics::set(const std::string &name, double value, const Labels &labels)
+void NodeMetrics::setGauge(const std::string &name, double value, const Labels &labels)
 {
     auto &family = m_gauges[name];
     if (family == nullptr) {
@@ -137,7 +137,7 @@
     counter.Increment(std::max(0.0, value - counter.Value()));
 }
 
-void NodeMetrics::clear(const std::string &name)
+void NodeMetrics::clearGauge(const std::string &name)
 {
     const auto series = m_gaugeSeries.find(name);
     if (series == m_gaugeSeries.end()) {
--- a/src/node/metrics_test.cpp
+++ b/src/node/metrics_test.cpp
@@ -97,9 +97,9 @@
 
 BOOST_AUTO_TEST_CASE(gauge_ofAServiceThatIsGone_isNotShownAnyMore)
 {
-    metrics.set("slots", 5, {{"service", "counter"}});
-    metrics.clear("slots");
-    metrics.set("slots", 4, {{"service", "van"}});
+    metrics.setGauge("slots", 5, {{"service", "counter"}});
+    metrics.clearGauge("slots");
+    metrics.setGauge("slots", 4, {{"service", "van"}});
 
     BOOST_TEST(!tells(R"(papayastep_slots{service="counter"} 5)"));
     BOOST_TEST(tells(R"(papayastep_slots{service="van"} 4)"));
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -109,56 +109,58 @@
 
 Node::Node(net::asio::io_context &io,
            const base::Clock &clock,
-           SettingsKeeper settingsKeeper,
+           SettingsReloader settingsReloader,
            NodeSettings settings,
            Interfaces interfaces,
            base::LogOutput &log,
            std::uint64_t seed)
     : m_log(log)
-    , m_settingsKeeper(std::move(settingsKeeper))
+    , m_settingsReloader(std::move(settingsReloader))
     , m_context(io, clock, std::move(settings), std::move(interfaces), seed)
-    , m_directory(clock)
+    , m_vmDirectory(clock)
     , m_processes(clock)
     , m_spread({m_context.settings.vm, m_context.settings.zone, m_context.incarnation},
-               m_directory,
+               m_vmDirectory,
                clock,
                seed + 1,
                spreadSettings(m_context.interfaces.servers != nullptr))
-    , m_servers(clock)
+    , m_serverDirectory(clock)
     , m_roster(clock, ownEntry(m_context.settings), fleetPorts(m_context.settings))
-    , m_keeper(m_context, m_spread, *m_context.interfaces.platform)
-    , m_serving(m_context)
+    , m_configurationFetcher(m_context, m_spread, *m_context.interfaces.platform)
+    , m_servingNode(m_context)
     , m_prober(m_context)
-    , m_entry(m_context, m_serving)
-    , m_hop(m_context, m_serving)
-    , m_peers(m_context, [this](const wire::Envelope &envelope) { dispatch(envelope); })
-    , m_callerServer(io, m_context.settings.caller, limitsWithin(callerShare, m_context.settings.limits), m_entry)
-    , m_hopServer(io, m_context.settings.hop, limitsWithin(hopShare, m_context.settings.limits), m_hop)
-    , m_adminServer(io, m_context.settings.admin, {}, m_admin)
+    , m_entryHandler(m_context, m_servingNode)
+    , m_hopHandler(m_context, m_servingNode)
+    , m_peerMessenger(m_context, [this](const wire::Envelope &envelope) { dispatch(envelope); })
+    , m_callerServer(
+          io, m_context.settings.caller, limitsWithin(callerShare, m_context.settings.limits), m_entryHandler)
+    , m_hopServer(io, m_context.settings.hop, limitsWithin(hopShare, m_context.settings.limits), m_hopHandler)
+    , m_adminServer(io, m_context.settings.admin, {}, m_adminHandler)
     , m_tickSignal(io)
-    , m_readyAtLatest(clock.now() + longestSettling)
-    , m_life(nodeChart())
+    , m_readyDeadline(clock.now() + longestSettling)
+    , m_stateMachine(nodeChart())
 {
     m_context.schedulePump = [this] { schedulePump(); };
-    m_context.isLeaving = [this](const base::VmId &vm) { return m_directory.isLeaving(vm); };
-    m_context.send = [this](const wire::Outgoing &message) { m_peers.send(message); };
+    m_context.isLeaving = [this](const base::VmId &vm) { return m_vmDirectory.isLeaving(vm); };
+    m_context.send = [this](const wire::Outgoing &message) { m_peerMessenger.send(message); };
     addAdminPages();
     if (m_context.settings.ready) {
-        m_readyServer
-            = std::make_unique<net::HttpServer>(io, *m_context.settings.ready, m_context.settings.limits, m_ready);
+        m_readyServer = std::make_unique<net::HttpServer>(
+            io, *m_context.settings.ready, m_context.settings.limits, m_readyHandler);
     }
     if (m_context.interfaces.servers) {
-        m_directoryKeeper = std::make_unique<DirectoryKeeper>(m_context, m_servers, *m_context.interfaces.servers);
-        m_directoryKeeper->start([this](base::Revision published, bool changed) {
+        m_directoryUpdater
+            = std::make_unique<DirectoryUpdater>(m_context, m_serverDirectory, *m_context.interfaces.servers);
+        m_directoryUpdater->start([this](base::Revision published, bool changed) {
             m_spread.platformHolds(published);
-            m_keeper.wake();
+            m_configurationFetcher.wake();
             if (changed) {
                 applyDirectory();
             }
         });
-        m_keeper.startConfiguration();
+        m_configurationFetcher.startConfigurationOnly();
     } else {
-        m_keeper.start();
+        m_configurationFetcher.start();
     }
     m_prober.start();
     net::spawnDuty(io, "tick", [this] { return tickLoop(); });
@@ -176,30 +178,31 @@
 
 void Node::requestStop()
 {
-    if (!m_life.handle(NodeEvent::StopRequested)) {
+    if (!m_stateMachine.handle(NodeEvent::StopRequested)) {
         return;
     }
-    PAPAYASTEP_LOG(INFO, logPrefix) << "Draining for a planned stop." << base::field("open", m_entry.open())
-                                    << base::field("serving", m_serving.inFlight());
-    net::spawnTask(m_context.io, "drain", [this] { return drain(); });
+    PAPAYASTEP_LOG(INFO, logPrefix) << "Draining for a planned stop."
+                                    << base::field("open", m_entryHandler.openRequests())
+                                    << base::field("serving", m_servingNode.inFlight());
+    net::spawnTask(m_context.io, "drain", [this] { return drainAndStop(); });
 }
 
 // Decisions and messages pile up in the packages while events come in; one pump after a burst of events takes them all.
 void Node::pump()
 {
     m_pumpScheduled = false;
-    m_serving.poll();
+    m_servingNode.poll();
     sendAll(m_context.tokens.takeMessages());
     for (const limits::AdmissionDecision &decision : m_context.tokens.takeDecisions()) {
-        m_entry.deliver(decision);
+        m_entryHandler.deliver(decision);
     }
     sendAll(m_context.ledgerHome.takeMessages());
     sendAll(m_context.ledgerClient.takeMessages());
     for (const routing::LedgerDecision &decision : m_context.ledgerClient.takeDecisions()) {
-        m_entry.deliver(decision);
+        m_entryHandler.deliver(decision);
     }
     for (const base::RequestId &recorded : m_context.ledgerClient.takeRecorded()) {
-        m_entry.deliver(recorded);
+        m_entryHandler.deliver(recorded);
     }
     sendAll(m_context.health.takeMessages());
     countHealthEvents();
@@ -211,7 +214,7 @@
         applyConfiguration(*accepted);
     }
     sendAll(m_spread.takeMessages());
-    if (nextTick() < m_armedTick) {
+    if (nextTick() < m_scheduledTick) {
         m_tickSignal.notify();
     }
     m_log.flush();
@@ -228,9 +231,9 @@
 void Node::dispatch(const wire::Envelope &envelope)
 {
     m_processes.noteHeard(envelope.sender, envelope.incarnation);
-    const bool stranger = !m_directory.isListed(envelope.sender);
+    const bool stranger = !m_vmDirectory.isListed(envelope.sender);
     if (!stranger) {
-        m_directory.noteHeard(envelope.sender, envelope.incarnation);
+        m_vmDirectory.noteHeard(envelope.sender, envelope.incarnation);
         m_spread.noteRevision(envelope.sender, envelope.revision);
     }
     if (isBetween(envelope.kind, 10, 19)) {
@@ -241,20 +244,20 @@
     } else if (isBetween(envelope.kind, 20, 29)) {
         m_context.health.receive(envelope.sender, envelope.incarnation, envelope.kind, envelope.payload);
     } else if (envelope.kind == wire::MessageKind::DirectoryNews) {
-        if (m_directoryKeeper) {
-            m_directoryKeeper->receive(wire::decode<membership::DirectoryNews>(envelope.payload));
+        if (m_directoryUpdater) {
+            m_directoryUpdater->receive(wire::decode<membership::DirectoryNews>(envelope.payload));
         }
     } else if (isBetween(envelope.kind, 30, 39)) {
         m_spread.receive(envelope.sender, envelope.kind, envelope.payload);
-        m_keeper.wake();
+        m_configurationFetcher.wake();
     } else if (envelope.kind == wire::MessageKind::SlotAsk) {
-        const wire::SlotOffer offer = m_serving.offerFor(wire::decode<wire::SlotAsk>(envelope.payload));
-        m_peers.send(wire::outgoing(envelope.sender, wire::MessageKind::SlotOffer, offer));
+        const wire::SlotOffer offer = m_servingNode.offerFor(wire::decode<wire::SlotAsk>(envelope.payload));
+        m_peerMessenger.send(wire::outgoing(envelope.sender, wire::MessageKind::SlotOffer, offer));
     } else if (envelope.kind == wire::MessageKind::SlotOffer) {
         if (m_context.silence.noteHeard(envelope.sender)) {
             PAPAYASTEP_LOG(INFO, "health") << "A node answers again." << base::field("vm", envelope.sender);
         }
-        m_entry.deliver(wire::decode<wire::SlotOffer>(envelope.payload));
+        m_entryHandler.deliver(wire::decode<wire::SlotOffer>(envelope.payload));
     } else if (isBetween(envelope.kind, 40, 49)) {
         handleCancel(envelope);
     } else if (envelope.kind == wire::MessageKind::LedgerClaimResult
@@ -272,7 +275,7 @@
 {
     if (envelope.kind == wire::MessageKind::CancelResult) {
         const auto result = wire::decode<wire::CancelResult>(envelope.payload);
-        m_entry.deliver(result, [&](routing::CancelAnswer answer, base::TimePoint sentAt) {
+        m_entryHandler.deliver(result, [&](routing::CancelAnswer answer, base::TimePoint sentAt) {
             return m_processes.proven(envelope.sender, envelope.incarnation, answer, sentAt);
         });
         return;
@@ -283,14 +286,14 @@
     result.requestHigh = cancel.requestHigh;
     result.requestLow = cancel.requestLow;
     result.attempt = cancel.attempt;
-    result.answer = static_cast<std::uint8_t>(m_serving.cancel(cancel, stamp));
-    m_peers.send(wire::outgoing(envelope.sender, wire::MessageKind::CancelResult, result));
+    result.answer = static_cast<std::uint8_t>(m_servingNode.cancel(cancel, stamp));
+    m_peerMessenger.send(wire::outgoing(envelope.sender, wire::MessageKind::CancelResult, result));
 }
 
 void Node::sendAll(const std::vector<wire::Outgoing> &messages)
 {
     for (const wire::Outgoing &message : messages) {
-        m_peers.send(message);
+        m_peerMessenger.send(message);
     }
 }
 
@@ -320,8 +323,8 @@
 void Node::applyConfiguration(const membership::Accepted &accepted)
 {
     m_published = accepted.configuration;
-    m_context.inForce.routes = m_builtRoutes;
-    putInForce();
+    m_context.active.routes = m_builtRoutes;
+    activateConfiguration();
     applyCallerLimits();
     PAPAYASTEP_LOG(INFO, "config") << "Put a configuration in force."
                                    << base::field("revision", m_published->revision())
@@ -334,22 +337,22 @@
 }
 
 /// The published configuration with the backend servers of the directory, if there is one.
-void Node::putInForce()
+void Node::activateConfiguration()
 {
     config::ConfigurationPtr configuration = m_published;
-    if (m_directoryKeeper) {
-        configuration = m_published->withBackendServers(m_servers.servers());
+    if (m_directoryUpdater) {
+        configuration = m_published->withBackendServers(m_serverDirectory.servers());
     }
-    m_context.inForce.configuration = configuration;
+    m_context.active.configuration = configuration;
     m_context.tokens.applyConfiguration(configuration);
     m_context.health.applyConfiguration(configuration);
     if (m_context.callers().hasIdempotencyKeys()) {
         m_context.ledgerClient.applyConfiguration(configuration);
         m_context.ledgerHome.applyConfiguration(configuration);
     }
-    m_serving.applyConfiguration();
-    if (!m_directoryKeeper || m_servers.isKnown()) {
-        m_life.handle(NodeEvent::Configured);
+    m_servingNode.applyConfiguration();
+    if (!m_directoryUpdater || m_serverDirectory.isKnown()) {
+        m_stateMachine.handle(NodeEvent::Configured);
     }
     schedulePump();
 }
@@ -369,30 +372,31 @@
 
 void Node::applyDirectory()
 {
-    m_spread.localVmList(m_roster.update(m_servers.version(), m_servers.servers()));
-    m_context.tokens.applyVmList(m_context.vms, m_directoryKeeper->askedAt());
+    m_spread.localVmList(m_roster.update(m_serverDirectory.version(), m_serverDirectory.servers()));
+    m_context.tokens.applyVmList(m_context.vms, m_directoryUpdater->lastRequestedAt());
     if (m_published) {
-        putInForce();
+        activateConfiguration();
     }
     schedulePump();
 }
 
 void Node::applyVmList()
 {
-    m_context.vms = m_directory.list();
-    if (m_directoryKeeper) {
-        m_directoryKeeper->applyVms(m_directory.present());
+    m_context.vms = m_vmDirectory.list();
+    if (m_directoryUpdater) {
+        m_directoryUpdater->applyVms(m_vmDirectory.present());
     }
     applyRetryLimit();
     m_context.tokens.applyVmList(m_context.vms,
-                                 m_directoryKeeper ? m_directoryKeeper->askedAt() : m_keeper.vmListAskedAt());
+                                 m_directoryUpdater ? m_directoryUpdater->lastRequestedAt()
+                                                    : m_configurationFetcher.vmListRequestedAt());
     m_context.health.applyVmList(m_context.vms);
     if (m_context.callers().hasIdempotencyKeys()) {
         m_context.ledgerHome.applyVmList(m_context.vms);
     }
     PAPAYASTEP_LOG(INFO, "membership") << "Took a VM list." << base::field("version", m_context.vms.version)
                                        << base::field("vms", m_context.vms.vms.size());
-    m_keeper.wake();
+    m_configurationFetcher.wake();
     schedulePump();
 }
 
@@ -407,20 +411,20 @@
 // must be able to tell whether the signal reached it.
 void Node::requestReload()
 {
-    PAPAYASTEP_LOG(INFO, logPrefix) << "Asked to reload." << base::field("open", m_entry.open())
-                                    << base::field("serving", m_serving.inFlight());
-    rereadSettings();
+    PAPAYASTEP_LOG(INFO, logPrefix) << "Asked to reload." << base::field("open", m_entryHandler.openRequests())
+                                    << base::field("serving", m_servingNode.inFlight());
+    reloadSettings();
 }
 
-void Node::rereadSettings()
+void Node::reloadSettings()
 {
     try {
-        const auto fresh = m_settingsKeeper.changed();
+        const auto fresh = m_settingsReloader.reloadIfChanged();
         if (!fresh) {
             return;
         }
-        const std::string waiting = changedForNextStart(m_context.settings, *fresh);
-        m_context.settings = takenOver(m_context.settings, *fresh);
+        const std::string waiting = settingsNeedingRestart(m_context.settings, *fresh);
+        m_context.settings = withReloadableSettings(m_context.settings, *fresh);
         applyRetryLimit();
         if (m_published) {
             applyCallerLimits();
@@ -435,9 +439,9 @@
     }
 }
 
-void Node::logFoldedRefusals()
+void Node::logRefusalSummaries()
 {
-    for (const RefusalSummary &summary : m_context.refusals.takeSummaries()) {
+    for (const RefusalSummary &summary : m_context.refusalLog.takeSummaries()) {
         PAPAYASTEP_LOG(WARNING, "routing")
             << "Refused more requests." << base::field("code", number(summary.code))
             << base::field("count", summary.count) << base::field("requests", summary.requests);
@@ -454,9 +458,9 @@
     step("ledger-client", [this] { m_context.ledgerClient.tick(); });
     step("ledger-home", [this] { m_context.ledgerHome.tick(); });
     step("spread", [this] { m_spread.tick(); });
-    step("serving", [this] { m_serving.tick(); });
+    step("serving", [this] { m_servingNode.tick(); });
     step("directory", [this] { tickDirectory(); });
-    step("refusals", [this] { logFoldedRefusals(); });
+    step("refusals", [this] { logRefusalSummaries(); });
     const auto now = m_context.clock.now();
     if (now >= m_nextSweep) {
         m_nextSweep = now + sweepEvery;
@@ -466,23 +470,23 @@
 
 void Node::tickDirectory()
 {
-    if (m_servers.tick()) {
+    if (m_serverDirectory.tick()) {
         applyDirectory();
     }
-    if (m_directoryKeeper) {
-        m_directoryKeeper->sendNews();
+    if (m_directoryUpdater) {
+        m_directoryUpdater->sendUpdates();
     }
 }
 
 void Node::sweep()
 {
-    rereadSettings();
+    reloadSettings();
     m_context.retryBudget.tick();
     m_context.gray.expire();
     m_context.idle.expire();
     m_context.hopPool.sweep();
     m_context.backendPool.sweep();
-    m_peers.sweep();
+    m_peerMessenger.sweep();
 }
 
 base::TimePoint Node::nextTick()
@@ -494,10 +498,10 @@
     next = std::min(next, m_context.ledgerClient.nextTick());
     next = std::min(next, m_context.ledgerHome.nextTick());
     next = std::min(next, m_spread.nextTick());
-    next = std::min(next, m_serving.nextTick().value_or(next));
-    next = std::min(next, m_servers.nextTick().value_or(next));
-    if (m_directoryKeeper) {
-        next = std::min(next, m_directoryKeeper->nextTick().value_or(next));
+    next = std::min(next, m_servingNode.nextTick().value_or(next));
+    next = std::min(next, m_serverDirectory.nextTick().value_or(next));
+    if (m_directoryUpdater) {
+        next = std::min(next, m_directoryUpdater->nextTick().value_or(next));
     }
     return std::max(next, now + shortestTick);
 }
@@ -505,8 +509,8 @@
 net::Awaitable<void> Node::tickLoop()
 {
     while (!m_stopped) {
-        m_armedTick = nextTick();
-        co_await m_tickSignal.waitUntil(m_armedTick);
+        m_scheduledTick = nextTick();
+        co_await m_tickSignal.waitUntil(m_scheduledTick);
         tick();
         net::runStep(m_context.io, "pump", [this] { pump(); });
     }
@@ -514,14 +518,14 @@
 
 // The process must end whatever fails on the way: one that stays is killed at the end of its grace time, with the
 // requests in flight.
-net::Awaitable<void> Node::drain()
+net::Awaitable<void> Node::drainAndStop()
 {
     try {
         co_await finishRequests();
     } catch (...) {
         net::taskFaults(m_context.io).note("drain", std::current_exception());
     }
-    net::runStep(m_context.io, "stop", [this] { endDuties(); });
+    net::runStep(m_context.io, "stop", [this] { stopTasks(); });
     m_context.io.stop();
 }
 
@@ -562,10 +566,10 @@
 /// closes without an answer would not tell them whether to ask again.
 net::Awaitable<void> Node::answerOpenRequests()
 {
-    if (m_entry.open() == 0) {
+    if (m_entryHandler.openRequests() == 0) {
         co_return;
     }
-    m_entry.expireAll();
+    m_entryHandler.expireAll();
     net::asio::steady_timer timer(m_context.io);
     net::beast::error_code ignored;
     const auto patience = m_context.clock.now() + lastAnswers;
@@ -575,23 +579,23 @@
     }
 }
 
-void Node::endDuties()
+void Node::stopTasks()
 {
     m_hopServer.stop();
-    m_life.handle(isIdle() ? NodeEvent::Drained : NodeEvent::PatienceEnded);
-    PAPAYASTEP_LOG(INFO, logPrefix) << "Stopped." << base::field("open", m_entry.open())
-                                    << base::field("serving", m_serving.inFlight());
+    m_stateMachine.handle(isIdle() ? NodeEvent::Drained : NodeEvent::DrainTimedOut);
+    PAPAYASTEP_LOG(INFO, logPrefix) << "Stopped." << base::field("open", m_entryHandler.openRequests())
+                                    << base::field("serving", m_servingNode.inFlight());
     m_stopped = true;
-    m_keeper.stop();
-    if (m_directoryKeeper) {
-        m_directoryKeeper->stop();
+    m_configurationFetcher.stop();
+    if (m_directoryUpdater) {
+        m_directoryUpdater->stop();
     }
 }
 
 bool Node::isIdle() const
 {
     const bool requestsDone
-        = m_callerServer.inFlight() == 0 && m_hopServer.inFlight() == 0 && m_serving.inFlight() == 0;
+        = m_callerServer.inFlight() == 0 && m_hopServer.inFlight() == 0 && m_servingNode.inFlight() == 0;
     return requestsDone && m_context.ledgerClient.size() == 0 && m_context.ledgerHome.handOverDone();
 }
 
--- a/src/node/nodecontext.cpp
+++ b/src/node/nodecontext.cpp
@@ -88,7 +88,7 @@
     , ledgerHome(clock, settings.vm, incarnation, ledgerSettings(settings))
     , ledgerClient(clock, settings.vm, ledgerHome, ledgerSettings(settings))
     , placement(placementPolicy(settings))
-    , refusals(clock)
+    , refusalLog(clock)
 {
 }
 
--- a/src/node/nodepages.cpp
+++ b/src/node/nodepages.cpp
@@ -96,13 +96,13 @@
 
 void Node::addAdminPages()
 {
-    m_admin.addPage("/healthz",
-                    [](const auto &) { return net::jsonAnswer(net::http::status::ok, "{\"alive\": true}\n"); });
-    m_admin.addPage("/readyz", [this](const auto &) { return readyPage(); });
-    m_admin.addPage("/status", [this](const auto &query) { return statusPage(query); });
-    m_admin.addPage("/explain", [this](const auto &query) { return explainPage(query); });
-    m_ready.addPage(m_context.settings.readyPath, [this](const auto &) { return readyPage(); });
-    m_admin.addPage("/metrics", [this](const auto &) { return metricsPage(); });
+    m_adminHandler.addPage("/healthz",
+                           [](const auto &) { return net::jsonAnswer(net::http::status::ok, "{\"alive\": true}\n"); });
+    m_adminHandler.addPage("/readyz", [this](const auto &) { return readyPage(); });
+    m_adminHandler.addPage("/status", [this](const auto &query) { return statusPage(query); });
+    m_adminHandler.addPage("/explain", [this](const auto &query) { return explainPage(query); });
+    m_readyHandler.addPage(m_context.settings.readyPath, [this](const auto &) { return readyPage(); });
+    m_adminHandler.addPage("/metrics", [this](const auto &) { return metricsPage(); });
 }
 
 net::WholeAnswer Node::readyPage() const
@@ -110,11 +110,11 @@
     // A rolling restart goes on to the next node when this one is ready. If that were before the shares of this VM are
     // in its hands, a few restarts in a row would leave no holder that may grant, and callers inside their rate be
     // refused.
-    const bool settled = m_context.tokens.isSettled() || m_context.clock.now() >= m_readyAtLatest;
-    const bool ready = m_life.state() == NodeState::Serving && settled;
+    const bool settled = m_context.tokens.isSettled() || m_context.clock.now() >= m_readyDeadline;
+    const bool ready = m_stateMachine.state() == NodeState::Serving && settled;
     const auto status = ready ? net::http::status::ok : net::http::status::service_unavailable;
     return net::jsonAnswer(
-        status, Json{{"ready", ready}, {"state", m_life.stateName()}, {"holdsShares", settled}}.dump() + "\n");
+        status, Json{{"ready", ready}, {"state", m_stateMachine.stateName()}, {"holdsShares", settled}}.dump() + "\n");
 }
 
 net::WholeAnswer Node::statusPage(const AdminHandler::Query &query) const
@@ -123,7 +123,7 @@
     Json status{{"vm", m_context.settings.vm.value()},
                 {"zone", m_context.settings.zone.value()},
                 {"incarnation", std::to_string(m_context.incarnation)},
-                {"state", m_life.stateName()},
+                {"state", m_stateMachine.stateName()},
                 {"revision", spread.revision},
                 {"platformRevision", spread.platformRevision},
                 {"platformStale", spread.platformStale},
@@ -131,14 +131,14 @@
                 {"rejection", spread.rejection},
                 {"vmListVersion", spread.vmListVersion},
                 {"vms", m_context.vms.vms.size()},
-                {"open", m_entry.open()},
-                {"serving", m_serving.inFlight()},
-                {"queued", m_serving.queued()}};
+                {"open", m_entryHandler.openRequests()},
+                {"serving", m_servingNode.inFlight()},
+                {"queued", m_servingNode.queued()}};
     if (spread.newsAge) {
         status["newsAgeMs"] = milliseconds(*spread.newsAge);
     }
     status["servers"] = Json::array();
-    const auto &configuration = m_context.inForce.configuration;
+    const auto &configuration = m_context.active.configuration;
     const auto workspace = query.find("workspace");
     if (configuration && workspace == query.end()) {
         for (const config::BackendServer &server : configuration->backendServers()) {
@@ -157,10 +157,10 @@
         const auto found = query.find(name);
         return found != query.end() ? found->second : std::string();
     };
-    if (!m_context.inForce.configuration) {
+    if (!m_context.active.configuration) {
         return badQuery("the node has no configuration yet");
     }
-    const auto match = m_context.inForce.routes->match(valueOf("host"), valueOf("method"), valueOf("path"));
+    const auto match = m_context.active.routes->match(valueOf("host"), valueOf("method"), valueOf("path"));
     if (!match) {
         return badQuery("no route matches");
     }
--- a/src/node/peerlink.cpp
+++ b/src/node/peermessenger.cpp
@@ -1,4 +1,4 @@
-#include "papayastep/node/peerlink.h"
+#include "papayastep/node/peermessenger.h"
 
 #include "papayastep/base/error.h"
 #include "papayastep/base/log.h"
@@ -11,16 +11,15 @@
 
 }
 
-PeerLink::PeerLink(NodeContext &context, Receiver receive)
+PeerMessenger::PeerMessenger(NodeContext &context, Receiver receiver)
     : m_context(context)
-    , m_receive(std::move(receive))
+    , m_receiver(std::move(receiver))
     , m_codec(context.settings.secret)
-    , m_endpoint(
-          context.io, context.clock, context.settings.peer, [this](const std::string &bytes) { received(bytes); })
+    , m_endpoint(context.io, context.clock, context.settings.peer, [this](const std::string &bytes) { receive(bytes); })
 {
 }
 
-void PeerLink::send(const wire::Outgoing &message)
+void PeerMessenger::send(const wire::Outgoing &message)
 {
     const auto endpoint = endpointOf(message.to);
     if (!endpoint || message.to == m_context.settings.vm) {
@@ -30,7 +29,7 @@
     envelope.sender = m_context.settings.vm;
     envelope.incarnation = m_context.incarnation;
     envelope.sequence = ++m_sequence;
-    envelope.revision = m_context.inForce.configuration ? m_context.inForce.configuration->revision() : 0;
+    envelope.revision = m_context.active.configuration ? m_context.active.configuration->revision() : 0;
     envelope.capabilities = wire::allCapabilities;
     envelope.kind = message.kind;
     envelope.payload = message.payload;
@@ -41,47 +40,47 @@
     const auto known = m_capabilities.find(message.to);
     const bool compress = known != m_capabilities.end() && (known->second & wire::capabilityCompressed) != 0;
     const std::string sealed = m_codec.seal(envelope, compress);
-    Tally &tally = m_sent[message.kind];
+    SentTotals &tally = m_sentByKind[message.kind];
     ++tally.messages;
     tally.bytes += sealed.size();
     m_endpoint.send(*endpoint, sealed);
 }
 
-void PeerLink::sweep()
+void PeerMessenger::sweep()
 {
     m_endpoint.sweep();
 }
 
-const std::map<wire::MessageKind, PeerLink::Tally> &PeerLink::sent() const
+const std::map<wire::MessageKind, PeerMessenger::SentTotals> &PeerMessenger::sentByKind() const
 {
-    return m_sent;
+    return m_sentByKind;
 }
 
-const net::PeerEndpoint::Counters &PeerLink::counters() const
+const net::PeerEndpoint::Counters &PeerMessenger::counters() const
 {
     return m_endpoint.counters();
 }
 
-std::uint64_t PeerLink::refused() const
+std::uint64_t PeerMessenger::refusedMessages() const
 {
-    return m_refused;
+    return m_refusedMessages;
 }
 
-std::size_t PeerLink::openSockets() const
+std::size_t PeerMessenger::openSockets() const
 {
     return m_endpoint.openSockets();
 }
 
-std::optional<net::Endpoint> PeerLink::endpointOf(const base::VmId &vm) const
+std::optional<net::Endpoint> PeerMessenger::endpointOf(const base::VmId &vm) const
 {
     if (const config::VmEntry *entry = m_context.vms.find(vm)) {
         return net::Endpoint{entry->address, entry->peerPort};
     }
-    const auto learned = m_learned.find(vm);
-    return learned != m_learned.end() ? std::optional(learned->second) : std::nullopt;
+    const auto learned = m_learnedEndpoints.find(vm);
+    return learned != m_learnedEndpoints.end() ? std::optional(learned->second) : std::nullopt;
 }
 
-std::string PeerLink::ownEndpoint() const
+std::string PeerMessenger::ownEndpoint() const
 {
     const config::VmEntry *self = m_context.vms.find(m_context.settings.vm);
     return self != nullptr ? net::toString({self->address, self->peerPort}) : std::string();
@@ -89,28 +88,28 @@
 
 // A node that starts while the platform is away has no VM list, so it could answer nobody and would wait for hours
 // among peers that know all it needs. The sender of a notice says where it listens; that is enough to ask for the list.
-void PeerLink::learnEndpoint(const wire::Envelope &envelope)
+void PeerMessenger::learnEndpoint(const wire::Envelope &envelope)
 {
     constexpr std::size_t maxLearned = 64;
     if (!m_context.vms.vms.empty()) {
-        m_learned.clear();
-    } else if (!envelope.replyTo.empty() && m_learned.size() < maxLearned) {
-        m_learned[envelope.sender] = net::parseEndpoint(envelope.replyTo);
+        m_learnedEndpoints.clear();
+    } else if (!envelope.replyTo.empty() && m_learnedEndpoints.size() < maxLearned) {
+        m_learnedEndpoints[envelope.sender] = net::parseEndpoint(envelope.replyTo);
     }
 }
 
-void PeerLink::received(const std::string &bytes)
+void PeerMessenger::receive(const std::string &bytes)
 {
     try {
         const wire::Envelope envelope = m_codec.open(bytes);
-        if (!m_window.accept(envelope.sender, envelope.incarnation, envelope.sequence)) {
+        if (!m_replayWindow.accept(envelope.sender, envelope.incarnation, envelope.sequence)) {
             throw base::Error(base::ResultCode::MessageReplayed, envelope.sender.value());
         }
         m_capabilities[envelope.sender] = envelope.capabilities;
         learnEndpoint(envelope);
-        m_receive(envelope);
+        m_receiver(envelope);
     } catch (const base::Error &error) {
-        ++m_refused;
+        ++m_refusedMessages;
         PAPAYASTEP_LOG(WARNING, logPrefix) << "Refused a message." << base::field("code", number(error.code()))
                                            << base::field("detail", error.detail());
     }
--- a/src/node/prober.cpp
+++ b/src/node/prober.cpp
@@ -30,15 +30,15 @@
     while (!error) {
         timer.expires_after(interval);
         co_await timer.async_wait(net::into(error));
-        if (m_context.inForce.configuration && !m_context.draining) {
-            probeWanted();
+        if (m_context.active.configuration && !m_context.draining) {
+            startProbes();
         }
     }
 }
 
-void Prober::probeWanted()
+void Prober::startProbes()
 {
-    const auto &configuration = *m_context.inForce.configuration;
+    const auto &configuration = *m_context.active.configuration;
     for (const base::BackendServerId &id : m_context.health.probesWanted()) {
         const config::BackendServer *server = configuration.backendServer(id);
         const config::Service *service = server != nullptr ? configuration.service(server->service) : nullptr;
--- a/src/node/processsignals.cpp
+++ b/src/node/processsignals.cpp
@@ -34,12 +34,12 @@
             return SignalRequest::Stop;
         }
     }
-    return SignalRequest::Nothing;
+    return SignalRequest::Ignore;
 }
 
 }
 
-void holdBackSignals()
+void blockSignals()
 {
     const sigset_t set = allSignals();
     sigprocmask(SIG_BLOCK, &set, nullptr);
@@ -63,7 +63,7 @@
 
 ProcessSignals::~ProcessSignals()
 {
-    holdBackSignals();
+    blockSignals();
 }
 
 void ProcessSignals::watch(Handler handler)
--- a/src/node/processsignals_test.cpp
+++ b/src/node/processsignals_test.cpp
@@ -20,7 +20,7 @@
 {
     ProcessSignalsFixture()
     {
-        node::holdBackSignals();
+        node::blockSignals();
         for (const int signal : allSignals) {
             std::signal(signal, SIG_IGN);
             std::signal(signal, SIG_DFL);
@@ -62,7 +62,7 @@
 {
     for (const int signal : {SIGUSR1, SIGUSR2, SIGALRM}) {
         std::raise(signal);
-        BOOST_TEST((seenAfterStart() == Seen{{node::SignalRequest::Nothing, signal}}));
+        BOOST_TEST((seenAfterStart() == Seen{{node::SignalRequest::Ignore, signal}}));
     }
 }
 
--- a/src/node/refusallog.cpp
+++ b/src/node/refusallog.cpp
@@ -8,12 +8,12 @@
 {
 }
 
-bool RefusalLog::note(base::ResultCode code, const std::string &request)
+bool RefusalLog::record(base::ResultCode code, const std::string &request)
 {
     const auto [position, isNew] = m_periods.try_emplace(code);
     Period &period = position->second;
     if (isNew) {
-        period.began = m_clock.now();
+        period.startedAt = m_clock.now();
         period.summary.code = code;
     }
     if (period.lines < m_settings.linesPerPeriod) {
@@ -21,8 +21,8 @@
         return true;
     }
     ++period.summary.count;
-    if (period.named < m_settings.idsNamed) {
-        ++period.named;
+    if (period.listedIds < m_settings.maxListedIds) {
+        ++period.listedIds;
         period.summary.requests += period.summary.requests.empty() ? request : ',' + request;
     }
     return false;
@@ -34,7 +34,7 @@
     const auto now = m_clock.now();
     for (auto position = m_periods.begin(); position != m_periods.end();) {
         Period &period = position->second;
-        const bool ended = now - period.began >= m_settings.period;
+        const bool ended = now - period.startedAt >= m_settings.period;
         if (ended && period.summary.count > 0) {
             summaries.push_back(std::move(period.summary));
         }
--- a/src/node/refusallog_test.cpp
+++ b/src/node/refusallog_test.cpp
@@ -23,7 +23,7 @@
 {
     int lines = 0;
     for (int i = 0; i < 100; ++i) {
-        lines += log.note(base::ResultCode::HopQueueFull, "r" + std::to_string(i)) ? 1 : 0;
+        lines += log.record(base::ResultCode::HopQueueFull, "r" + std::to_string(i)) ? 1 : 0;
     }
     BOOST_TEST(lines == 2);
     BOOST_TEST(log.takeSummaries().empty());
@@ -37,19 +37,19 @@
 BOOST_AUTO_TEST_CASE(refusal_ofAnotherCode_hasItsLine)
 {
     for (int i = 0; i < 100; ++i) {
-        log.note(base::ResultCode::HopQueueFull, "full");
+        log.record(base::ResultCode::HopQueueFull, "full");
     }
-    BOOST_TEST(log.note(base::ResultCode::KeyUnknown, "unknown"));
+    BOOST_TEST(log.record(base::ResultCode::KeyUnknown, "unknown"));
 }
 
 BOOST_AUTO_TEST_CASE(refusal_inANewPeriod_hasItsLine)
 {
     for (int i = 0; i < 5; ++i) {
-        log.note(base::ResultCode::KeyUnknown, "a");
+        log.record(base::ResultCode::KeyUnknown, "a");
     }
     clock.advance(1s);
     log.takeSummaries();
-    BOOST_TEST(log.note(base::ResultCode::KeyUnknown, "b"));
+    BOOST_TEST(log.record(base::ResultCode::KeyUnknown, "b"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/node/refusals.cpp
+++ b/src/node/refusals.cpp
@@ -45,7 +45,7 @@
 
 }
 
-status statusOf(ResultCode code)
+status httpStatus(ResultCode code)
 {
     switch (code) {
     case ResultCode::RequestMalformed:
@@ -99,7 +99,7 @@
     if (!detail.empty()) {
         body["detail"] = detail;
     }
-    net::WholeAnswer answer = net::jsonAnswer(statusOf(refusal.code), utf8(body) + "\n");
+    net::WholeAnswer answer = net::jsonAnswer(httpStatus(refusal.code), utf8(body) + "\n");
     const auto outcome = routing::name(refusal.outcome);
     const auto retry = routing::name(refusal.retryClass);
     answer.head.set("Papayastep-Outcome", net::beast::string_view(outcome.data(), outcome.size()));
@@ -118,7 +118,7 @@
     return answer;
 }
 
-routing::Refusal notRun(ResultCode code, base::Duration retryAfter)
+routing::Refusal notRunRefusal(ResultCode code, base::Duration retryAfter)
 {
     routing::Refusal refusal;
     refusal.outcome = routing::Outcome::NotRun;
--- a/src/node/refusals_test.cpp
+++ b/src/node/refusals_test.cpp
@@ -18,7 +18,7 @@
 
 BOOST_AUTO_TEST_CASE(refusal_notRun_saysSoInHeadersAndJson)
 {
-    const auto answer = refusalAnswer(notRun(base::ResultCode::RateExceeded, 1500ms), "id-1", "detail");
+    const auto answer = refusalAnswer(notRunRefusal(base::ResultCode::RateExceeded, 1500ms), "id-1", "detail");
     BOOST_TEST(answer.head.result_int() == 429u);
     BOOST_TEST(headerOf(answer, "Papayastep-Outcome") == "not-run");
     BOOST_TEST(headerOf(answer, "Papayastep-Code") == "3010");
@@ -54,14 +54,14 @@
 BOOST_AUTO_TEST_CASE(refusal_withPartOfASecond_roundsRetryAfterUp)
 {
     for (const auto &[wait, seconds] : {std::pair(1ms, "1"), {1000ms, "1"}, {1001ms, "2"}, {1999ms, "2"}}) {
-        const auto answer = refusalAnswer(notRun(base::ResultCode::RateExceeded, wait), "");
+        const auto answer = refusalAnswer(notRunRefusal(base::ResultCode::RateExceeded, wait), "");
         BOOST_TEST(headerOf(answer, "Retry-After") == seconds);
     }
 }
 
 BOOST_AUTO_TEST_CASE(refusal_thatIsFinal_namesNoTime)
 {
-    const auto answer = refusalAnswer(notRun(base::ResultCode::KeyUnknown, 5s), "");
+    const auto answer = refusalAnswer(notRunRefusal(base::ResultCode::KeyUnknown, 5s), "");
     BOOST_TEST(answer.head.result_int() == 401u);
     BOOST_TEST(headerOf(answer, "WWW-Authenticate") == "Bearer");
     BOOST_TEST(answer.head.count("Retry-After") == 0u);
--- a/src/node/serverchoice.cpp
+++ b/src/node/serverselector.cpp
@@ -1,4 +1,4 @@
-#include "serverchoice.h"
+#include "serverselector.h"
 
 #include "papayastep/base/log.h"
 #include "papayastep/node/candidates.h"
@@ -30,10 +30,10 @@
 
 }
 
-ServerChoice::ServerChoice(NodeContext &context,
-                           ServingNode &serving,
-                           const base::RequestId &request,
-                           net::Signal &changed)
+ServerSelector::ServerSelector(NodeContext &context,
+                               ServingNode &serving,
+                               const base::RequestId &request,
+                               net::Signal &changed)
     : m_context(context)
     , m_serving(serving)
     , m_request(request)
@@ -41,15 +41,15 @@
 {
 }
 
-net::Awaitable<ServerChoice::Result> ServerChoice::choose(const ServerNeed &need, const bool &callerGone)
+net::Awaitable<ServerSelector::Result> ServerSelector::choose(const ServerRequirements &need, const bool &callerGone)
 {
     if (m_context.settings.asksForFreeSlots) {
         co_return co_await chooseBySurvey(need, callerGone);
     }
-    co_return chooseByBelief(need);
+    co_return chooseByEstimates(need);
 }
 
-void ServerChoice::slotOffered(const wire::SlotOffer &offer)
+void ServerSelector::slotOffered(const wire::SlotOffer &offer)
 {
     m_context.gray.note(offer.server, quoteOf(offer).failureRisk);
     m_context.idle.note(offer.server, quoteOf(offer).idle);
@@ -59,29 +59,29 @@
     }
 }
 
-void ServerChoice::noteResult(const base::BackendServerId &server,
-                              const routing::AttemptResult &result,
-                              const base::BackendServerId &advice)
+void ServerSelector::recordResult(const base::BackendServerId &server,
+                                  const routing::AttemptResult &result,
+                                  const base::BackendServerId &advice)
 {
     if (!wasTried(server)) {
         m_tried.push_back(server);
     }
     m_advice = advice;
-    m_ejectedSeen += result.code == ResultCode::HopBackendServerEjected ? 1 : 0;
+    m_ejectedRefusals += result.code == ResultCode::HopBackendServerEjected ? 1 : 0;
 }
 
-routing::PlacementRequest ServerChoice::placementRequest(const ServerNeed &need) const
+routing::PlacementRequest ServerSelector::placementRequest(const ServerRequirements &need) const
 {
     const auto now = m_context.clock.now();
     routing::PlacementRequest request{m_context.settings.zone, need.idempotent, m_tried};
     request.remaining = need.deadline - now;
-    if (need.wanted) {
-        request.wantedIn = *need.wanted - now;
+    if (need.targetTime) {
+        request.wantedIn = *need.targetTime - now;
     }
     return request;
 }
 
-ServerChoice::Result ServerChoice::chooseByBelief(const ServerNeed &need)
+ServerSelector::Result ServerSelector::chooseByEstimates(const ServerRequirements &need)
 {
     const auto candidates = candidatesOf(m_context, need.service);
     routing::PlacementRequest request = placementRequest(need);
@@ -94,7 +94,7 @@
     if (followAdvice) {
         placement.candidate = static_cast<std::size_t>(advised - candidates.begin());
     }
-    if (!placement.candidate && m_ejectedSeen > 0) {
+    if (!placement.candidate && m_ejectedRefusals > 0) {
         // Every server that is left was found ejected; one that may fail is better than none.
         request.tried.clear();
         placement = m_context.placement->place(candidates, request, m_context.random);
@@ -105,16 +105,17 @@
     ChosenServer chosen;
     chosen.candidate = candidates[*placement.candidate];
     chosen.reason = followAdvice ? "advice" : routing::name(placement.reason);
-    chosen.lastResort = m_ejectedSeen >= ejectedBeforeLastResort || wasTried(chosen.candidate.server);
-    chosen.byAdvice = chosen.candidate.server == m_advice;
-    chosen.typicalLatency = typicalLatency(candidates);
+    chosen.lastResort = m_ejectedRefusals >= ejectedBeforeLastResort || wasTried(chosen.candidate.server);
+    chosen.followsAdvice = chosen.candidate.server == m_advice;
+    chosen.medianLatency = medianLatency(candidates);
     return chosen;
 }
 
-net::Awaitable<ServerChoice::Result> ServerChoice::chooseBySurvey(const ServerNeed &need, const bool &callerGone)
+net::Awaitable<ServerSelector::Result> ServerSelector::chooseBySurvey(const ServerRequirements &need,
+                                                                      const bool &callerGone)
 {
     auto candidates = candidatesOf(m_context, need.service);
-    const base::Duration typical = typicalLatency(candidates);
+    const base::Duration typical = medianLatency(candidates);
     m_survey
         = std::make_unique<routing::SlotSurvey>(*m_context.placement, std::move(candidates), placementRequest(need));
     SurveyStep step = m_survey->next(m_context.clock.now(), m_context.random);
@@ -127,7 +128,7 @@
         }
         step = m_survey->next(m_context.clock.now(), m_context.random);
     }
-    noteSilent();
+    recordSilentNodes();
     const auto survey = std::move(m_survey);
     if (step.kind != SurveyStep::Kind::Take) {
         const NoServer none{step.code, step.retryAfter, survey->tally()};
@@ -137,13 +138,13 @@
     chosen.candidate = survey->candidate(step.candidate);
     chosen.reason = step.lastResort ? "all-gray" : "survey";
     chosen.lastResort = step.lastResort;
-    chosen.asked = survey->asked();
-    chosen.heard = survey->tally();
-    chosen.typicalLatency = typical;
+    chosen.nodesAsked = survey->asked();
+    chosen.surveyTally = survey->tally();
+    chosen.medianLatency = typical;
     co_return chosen;
 }
 
-void ServerChoice::ask(const ServerNeed &need, const routing::Candidate &candidate)
+void ServerSelector::ask(const ServerRequirements &need, const routing::Candidate &candidate)
 {
     const auto now = m_context.clock.now();
     wire::SlotAsk question;
@@ -156,8 +157,8 @@
     question.idempotent = need.idempotent;
     question.isCall = need.isCall;
     question.remaining = (need.deadline - now).count();
-    if (need.wanted) {
-        question.wantedIn = std::max<std::int64_t>(1, (*need.wanted - now).count());
+    if (need.targetTime) {
+        question.wantedIn = std::max<std::int64_t>(1, (*need.targetTime - now).count());
     }
     if (candidate.vm == m_context.settings.vm) {
         slotOffered(m_serving.offerFor(question));
@@ -166,17 +167,17 @@
     m_context.send(wire::outgoing(candidate.vm, wire::MessageKind::SlotAsk, question));
 }
 
-void ServerChoice::noteSilent() const
+void ServerSelector::recordSilentNodes() const
 {
     for (const std::size_t index : m_survey->silent(m_context.clock.now())) {
         const base::VmId &vm = m_survey->candidate(index).vm;
-        if (m_context.silence.noteSilent(vm)) {
+        if (m_context.silence.recordSilentNodes(vm)) {
             PAPAYASTEP_LOG(INFO, "health") << "A node does not answer." << base::field("vm", vm);
         }
     }
 }
 
-bool ServerChoice::wasTried(const base::BackendServerId &server) const
+bool ServerSelector::wasTried(const base::BackendServerId &server) const
 {
     return std::find(m_tried.begin(), m_tried.end(), server) != m_tried.end();
 }
--- a/src/node/serverchoice.h
+++ b/src/node/serverselector.h
@@ -10,7 +10,7 @@
 namespace papayastep::node {
 
 /// What a request needs of a server.
-struct ServerNeed
+struct ServerRequirements
 {
     base::ServiceId service;
     base::WorkspaceId workspace;
@@ -19,7 +19,7 @@
     bool idempotent = false;
     bool isCall = false; ///< Of a run at a backend server of this VM.
     base::TimePoint deadline;
-    std::optional<base::TimePoint> wanted; ///< An answer after it is worth less to the caller.
+    std::optional<base::TimePoint> targetTime; ///< An answer after it is worth less to the caller.
 };
 
 struct ChosenServer
@@ -27,10 +27,10 @@
     routing::Candidate candidate;
     std::string_view reason; ///< For the log.
     bool lastResort = false; ///< Every other one is held back as gray, so this one is to try all the same.
-    bool byAdvice = false; ///< A sibling named it.
-    std::size_t asked = 0; ///< Nodes that were asked for a slot.
-    routing::SurveyTally heard; ///< With lastResort: what they said.
-    base::Duration typicalLatency{0}; ///< Of the service; 0: not known.
+    bool followsAdvice = false; ///< A sibling named it.
+    std::size_t nodesAsked = 0; ///< Nodes that were asked for a slot.
+    routing::SurveyTally surveyTally; ///< With lastResort: what they said.
+    base::Duration medianLatency{0}; ///< Of the service; 0: not known.
 };
 
 /// Why no server was chosen.
@@ -38,35 +38,35 @@
 {
     base::ResultCode code = base::ResultCode::NoBackendServer;
     base::Duration retryAfter{0};
-    routing::SurveyTally heard{}; ///< Nothing, if nobody was asked.
+    routing::SurveyTally surveyTally{}; ///< Nothing, if nobody was asked.
 };
 
 /// Finds the server for each attempt of one request, and remembers what became of those before.
-class ServerChoice
+class ServerSelector
 {
 public:
-    ServerChoice(NodeContext &context, ServingNode &serving, const base::RequestId &request, net::Signal &changed);
+    ServerSelector(NodeContext &context, ServingNode &serving, const base::RequestId &request, net::Signal &changed);
 
     /// Asks the nodes beside some servers, or goes by what is believed, as the settings say. Ends early, with any
     /// result, once `callerGone` is set.
-    net::Awaitable<std::variant<ChosenServer, NoServer>> choose(const ServerNeed &need, const bool &callerGone);
+    net::Awaitable<std::variant<ChosenServer, NoServer>> choose(const ServerRequirements &need, const bool &callerGone);
 
     /// An answer to a question of choose().
     void slotOffered(const wire::SlotOffer &offer);
 
     /// How an attempt at `server` ended. `advice`: the sibling that its node named, or empty.
-    void noteResult(const base::BackendServerId &server,
-                    const routing::AttemptResult &result,
-                    const base::BackendServerId &advice);
+    void recordResult(const base::BackendServerId &server,
+                      const routing::AttemptResult &result,
+                      const base::BackendServerId &advice);
 
 private:
     using Result = std::variant<ChosenServer, NoServer>;
 
-    routing::PlacementRequest placementRequest(const ServerNeed &need) const;
-    Result chooseByBelief(const ServerNeed &need);
-    net::Awaitable<Result> chooseBySurvey(const ServerNeed &need, const bool &callerGone);
-    void ask(const ServerNeed &need, const routing::Candidate &candidate);
-    void noteSilent() const;
+    routing::PlacementRequest placementRequest(const ServerRequirements &need) const;
+    Result chooseByEstimates(const ServerRequirements &need);
+    net::Awaitable<Result> chooseBySurvey(const ServerRequirements &need, const bool &callerGone);
+    void ask(const ServerRequirements &need, const routing::Candidate &candidate);
+    void recordSilentNodes() const;
     bool wasTried(const base::BackendServerId &server) const;
 
     NodeContext &m_context;
@@ -76,7 +76,7 @@
     std::unique_ptr<routing::SlotSurvey> m_survey; ///< While one is going on.
     std::vector<base::BackendServerId> m_tried; ///< Not to be asked again.
     base::BackendServerId m_advice;
-    int m_ejectedSeen = 0; ///< Attempts refused because their server was ejected.
+    int m_ejectedRefusals = 0; ///< Attempts refused because their server was ejected.
 };
 
 }
