--- a/src/node/servingnode.cpp
+++ b/src/node/servingnode.cpp
@@ -48,12 +48,12 @@
     return static_cast<std::uint32_t>(std::chrono::ceil<std::chrono::milliseconds>(duration).count());
 }
 
-health::AttemptOutcome outcomeOfAnswer(AnswerVerdict verdict, net::http::status status)
+health::AttemptOutcome outcomeOfAnswer(AnswerKind verdict, net::http::status status)
 {
-    if (verdict == AnswerVerdict::OtherServer) {
+    if (verdict == AnswerKind::OtherServer) {
         return health::AttemptOutcome::CancelledByUs;
     }
-    if (verdict == AnswerVerdict::NotRun || status == net::http::status::service_unavailable
+    if (verdict == AnswerKind::NotRun || status == net::http::status::service_unavailable
         || status == net::http::status::too_many_requests) {
         return health::AttemptOutcome::Shed;
     }
@@ -69,11 +69,11 @@
 }
 
 /// A backend server of this VM with its queue.
-struct ServingNode::Lane
+struct ServingNode::LocalServer
 {
-    Lane(const base::Clock &clock, const config::BackendServer &configured)
-        : server(configured)
-        , queue(clock, configured.slots, queueSettings())
+    LocalServer(const base::Clock &clock, const config::BackendServer &serverConfiguration)
+        : configured(serverConfiguration)
+        , queue(clock, serverConfiguration.slots, queueSettings())
         , hold(clock.now())
         , lastStart(clock.now())
     {
@@ -85,19 +85,20 @@
         return static_cast<std::uint8_t>(100 * hold.grayProbability(now));
     }
 
-    config::BackendServer server;
+    config::BackendServer configured;
     limits::SlotQueue queue;
     health::ServerHold hold;
-    std::map<base::VmId, base::TimePoint> entries; ///< That sent attempts lately, and when.
+    std::map<base::VmId, base::TimePoint> recentEntries; ///< That sent attempts lately, and when.
     base::TimePoint lastStart; ///< Of any attempt.
-    int offers = 0; ///< Made since then. Tells a server that nobody asks from one that is asked and not chosen.
-    bool gone = false; ///< No longer configured; kept until its attempts have ended.
+    int offersSinceStart
+        = 0; ///< Made since then. Tells a server that nobody asks from one that is asked and not chosen.
+    bool removed = false; ///< No longer configured; kept until its attempts have ended.
 };
 
 /// One attempt from its arrival to the end of its answer.
-struct ServingNode::Work
+struct ServingNode::ActiveAttempt
 {
-    Work(net::asio::io_context &io, wire::HopRequest hopRequest, base::TimePoint arrival)
+    ActiveAttempt(net::asio::io_context &io, wire::HopRequest hopRequest, base::TimePoint arrival)
         : hop(std::move(hopRequest))
         , arrived(arrival)
         , changed(io)
@@ -120,8 +121,8 @@
     net::Signal changed;
     std::optional<limits::QueueDecision> decision;
     std::shared_ptr<net::HttpExchange> exchange;
-    std::function<void()> suspect; ///< Tells the entry that the server seems to hang.
-    AnswerVerdict verdict = AnswerVerdict::Answered;
+    std::function<void()> onHangSuspected; ///< Tells the entry that the server seems to hang.
+    AnswerKind answerKind = AnswerKind::Answered;
     bool running = false;
     bool timedOut = false;
     bool stopped = false; ///< Nobody wants the answer any more.
@@ -132,9 +133,9 @@
 class ServingNode::BackendBody final : public AnswerBody
 {
 public:
-    BackendBody(ServingNode &serving, WorkPtr work)
+    BackendBody(ServingNode &serving, ActiveAttemptPtr activeAttempt)
         : m_serving(serving)
-        , m_work(std::move(work))
+        , m_activeAttempt(std::move(activeAttempt))
     {
     }
 
@@ -145,7 +146,7 @@
 
     net::Awaitable<std::string> readPart() override
     {
-        std::string part = co_await m_work->exchange->readPart();
+        std::string part = co_await m_activeAttempt->exchange->readPart();
         if (part.empty() || complete()) {
             finish();
         }
@@ -154,26 +155,26 @@
 
     bool complete() const override
     {
-        return m_work->exchange->progress() == net::ExchangeProgress::Complete;
+        return m_activeAttempt->exchange->progress() == net::ExchangeProgress::Complete;
     }
 
 private:
     void finish()
     {
-        if (!m_work->running) {
+        if (!m_activeAttempt->running) {
             return;
         }
         const bool whole = complete();
-        const bool broken = m_work->exchange->failure() != net::ExchangeFailure::None;
+        const bool broken = m_activeAttempt->exchange->failure() != net::ExchangeFailure::None;
         auto outcome = whole ? health::AttemptOutcome::Success : health::AttemptOutcome::CancelledByUs;
-        if (broken && !m_work->stopped) {
-            outcome = m_work->timedOut ? health::AttemptOutcome::Timeout : health::AttemptOutcome::Partial;
+        if (broken && !m_activeAttempt->stopped) {
+            outcome = m_activeAttempt->timedOut ? health::AttemptOutcome::Timeout : health::AttemptOutcome::Partial;
         }
-        m_serving.finishWork(*m_work, outcome);
+        m_serving.finishAttempt(*m_activeAttempt, outcome);
     }
 
     ServingNode &m_serving;
-    WorkPtr m_work;
+    ActiveAttemptPtr m_activeAttempt;
 };
 
 ServingNode::ServingNode(NodeContext &context)
@@ -190,51 +191,51 @@
                                                 net::ClientRequest request,
                                                 std::function<void()> suspect)
 {
-    auto work = std::make_shared<Work>(m_context.io, std::move(hop), m_context.clock.now());
-    work->suspect = std::move(suspect);
-    auto refused = checkKey(work->hop);
+    auto activeAttempt = std::make_shared<ActiveAttempt>(m_context.io, std::move(hop), m_context.clock.now());
+    activeAttempt->onHangSuspected = std::move(suspect);
+    auto refused = checkKey(activeAttempt->hop);
     if (!refused) {
-        refused = checkServer(work->hop.server, work->hop.idempotent, work->hop.lastResort);
+        refused = checkServer(activeAttempt->hop.server, activeAttempt->hop.idempotent, activeAttempt->hop.lastResort);
     }
     if (!refused) {
-        refused = beginWork(*work);
+        refused = registerAttempt(*activeAttempt);
     }
     if (refused) {
-        co_return refusalOf(*work, *refused, {});
+        co_return refusalOf(*activeAttempt, *refused, {});
     }
-    Lane &lane = *laneOf(work->hop.server);
-    noteEntry(lane, work->hop.entry);
-    const limits::Verdict verdict = lane.queue.offer(offerOf(*work));
+    LocalServer &localServer = *findLocalServer(activeAttempt->hop.server);
+    recordEntry(localServer, activeAttempt->hop.entry);
+    const limits::Verdict verdict = localServer.queue.offer(queueOffer(*activeAttempt));
     if (!verdict.accepted) {
-        m_registry.drop({work->hop.requestId(), static_cast<int>(work->hop.attempt)});
-        co_return refusalOf(*work, verdict.code, verdict.retryAfter);
+        m_registry.drop({activeAttempt->hop.requestId(), static_cast<int>(activeAttempt->hop.attempt)});
+        co_return refusalOf(*activeAttempt, verdict.code, verdict.retryAfter);
     }
-    m_work[work->id()] = work;
+    m_attempts[activeAttempt->id()] = activeAttempt;
     poll();
-    co_await waitForSlot(work);
-    if (!work->decision || !work->decision->start) {
-        m_work.erase(work->id());
-        const auto code = work->decision ? work->decision->code : ResultCode::HopCancelled;
-        const auto retryAfter = work->decision ? work->decision->retryAfter : base::Duration::zero();
-        co_return refusalOf(*work, code, retryAfter);
+    co_await waitForSlot(activeAttempt);
+    if (!activeAttempt->decision || !activeAttempt->decision->start) {
+        m_attempts.erase(activeAttempt->id());
+        const auto code = activeAttempt->decision ? activeAttempt->decision->code : ResultCode::HopCancelled;
+        const auto retryAfter = activeAttempt->decision ? activeAttempt->decision->retryAfter : base::Duration::zero();
+        co_return refusalOf(*activeAttempt, code, retryAfter);
     }
     // Much may have changed while it waited.
-    refused = checkKey(work->hop);
+    refused = checkKey(activeAttempt->hop);
     if (!refused) {
-        refused = checkServer(work->hop.server, work->hop.idempotent, work->hop.lastResort);
+        refused = checkServer(activeAttempt->hop.server, activeAttempt->hop.idempotent, activeAttempt->hop.lastResort);
     }
-    if (!refused && !m_registry.start({work->hop.requestId(), static_cast<int>(work->hop.attempt)})) {
+    if (!refused && !m_registry.start({activeAttempt->hop.requestId(), static_cast<int>(activeAttempt->hop.attempt)})) {
         refused = ResultCode::HopCancelled;
     }
     if (refused) {
-        m_registry.drop({work->hop.requestId(), static_cast<int>(work->hop.attempt)});
-        laneOf(work->hop.server)->queue.finished(work->id(), false);
-        m_work.erase(work->id());
+        m_registry.drop({activeAttempt->hop.requestId(), static_cast<int>(activeAttempt->hop.attempt)});
+        findLocalServer(activeAttempt->hop.server)->queue.finished(activeAttempt->id(), false);
+        m_attempts.erase(activeAttempt->id());
         m_context.schedulePump();
-        co_return refusalOf(*work, *refused, {});
+        co_return refusalOf(*activeAttempt, *refused, {});
     }
-    co_await runOnBackend(work, std::move(request));
-    co_return answerOf(work);
+    co_await runOnBackend(activeAttempt, std::move(request));
+    co_return answerOf(activeAttempt);
 }
 
 wire::SlotOffer ServingNode::offerFor(const wire::SlotAsk &ask)
@@ -244,12 +245,12 @@
     offer.requestLow = ask.requestLow;
     offer.server = ask.server;
     const auto refused = checkServer(ask.server, ask.idempotent);
-    Lane *lane = laneOf(ask.server);
-    if (lane == nullptr || (refused && *refused != ResultCode::HopBackendServerEjected)) {
+    LocalServer *localServer = findLocalServer(ask.server);
+    if (localServer == nullptr || (refused && *refused != ResultCode::HopBackendServerEjected)) {
         offer.code = number(refused.value_or(ResultCode::HopBackendServerGone));
         return offer;
     }
-    ++lane->offers;
+    ++localServer->offersSinceStart;
     const auto now = m_context.clock.now();
     limits::QueueOffer wanted;
     wanted.workspace = ask.workspace;
@@ -260,13 +261,13 @@
     if (ask.wantedIn > 0) {
         wanted.wanted = now + base::Duration(ask.wantedIn);
     }
-    const limits::Verdict verdict = lane->queue.quote(wanted);
+    const limits::Verdict verdict = localServer->queue.quote(wanted);
     offer.code = number(verdict.code);
     offer.held = refused.has_value();
     offer.waitMicros = static_cast<std::uint32_t>(microseconds(verdict.retryAfter));
-    offer.runMicros = static_cast<std::uint32_t>(microseconds(expectedRun(*lane, ask.route)));
-    offer.grayPercent = lane->grayPercent(now);
-    offer.idleMs = milliseconds(now - lane->lastStart);
+    offer.runMicros = static_cast<std::uint32_t>(microseconds(expectedRun(*localServer, ask.route)));
+    offer.grayPercent = localServer->grayPercent(now);
+    offer.idleMs = milliseconds(now - localServer->lastStart);
     return offer;
 }
 
@@ -275,48 +276,48 @@
     const base::RequestId request{cancel.requestHigh, cancel.requestLow};
     const int attempt = static_cast<int>(cancel.attempt);
     const auto answer = m_registry.cancel({request, attempt}, stamp, base::Duration(cancel.remaining));
-    const auto found = m_work.find({request, attempt});
+    const auto found = m_attempts.find({request, attempt});
     m_context.metrics.countCancel(routing::name(answer));
     PAPAYASTEP_LOG(INFO, logPrefix) << "Answered a cancel."
                                     << base::field("request",
-                                                   found != m_work.end() ? found->second->hop.shownId()
-                                                                         : toString(request))
+                                                   found != m_attempts.end() ? found->second->hop.shownId()
+                                                                             : toString(request))
                                     << base::field("attempt", attempt) << base::field("answer", routing::name(answer));
-    if (found == m_work.end()) {
+    if (found == m_attempts.end()) {
         return answer;
     }
     if (answer == routing::CancelAnswer::NeverStarted) {
-        Lane *lane = laneOf(found->second->hop.server);
-        lane->queue.cancel(found->second->id());
+        LocalServer *localServer = findLocalServer(found->second->hop.server);
+        localServer->queue.cancel(found->second->id());
         found->second->stopped = true;
         found->second->changed.notify();
     } else if (cancel.stop) {
-        entryGone(request, attempt);
+        entryDisconnected(request, attempt);
     }
     return answer;
 }
 
-void ServingNode::entryGone(const base::RequestId &request, int attempt)
+void ServingNode::entryDisconnected(const base::RequestId &request, int attempt)
 {
-    const auto found = m_work.find({request, attempt});
-    if (found == m_work.end()) {
+    const auto found = m_attempts.find({request, attempt});
+    if (found == m_attempts.end()) {
         return;
     }
-    Work &work = *found->second;
-    if (!work.running && !work.decision) {
+    ActiveAttempt &activeAttempt = *found->second;
+    if (!activeAttempt.running && !activeAttempt.decision) {
         // Still queued: whatever it is, nobody waits for it any more.
         m_registry.drop({request, attempt});
-        laneOf(work.hop.server)->queue.cancel(work.id());
-        work.stopped = true;
-        work.changed.notify();
+        findLocalServer(activeAttempt.hop.server)->queue.cancel(activeAttempt.id());
+        activeAttempt.stopped = true;
+        activeAttempt.changed.notify();
         return;
     }
-    if (!work.hop.idempotent) {
+    if (!activeAttempt.hop.idempotent) {
         return; // It has begun and must not be left half done.
     }
-    work.stopped = true;
-    if (work.exchange) {
-        work.exchange->cancel();
+    activeAttempt.stopped = true;
+    if (activeAttempt.exchange) {
+        activeAttempt.exchange->cancel();
     }
 }
 
@@ -327,36 +328,36 @@
 
 void ServingNode::applyConfiguration()
 {
-    const auto &configuration = *m_context.inForce.configuration;
-    for (auto &[id, lane] : m_lanes) {
+    const auto &configuration = *m_context.active.configuration;
+    for (auto &[id, localServer] : m_localServers) {
         const config::BackendServer *server = configuration.backendServer(id);
-        lane->gone = server == nullptr || server->vm != m_context.settings.vm;
+        localServer->removed = server == nullptr || server->vm != m_context.settings.vm;
     }
     for (const config::BackendServer &server : configuration.backendServers()) {
         if (server.vm != m_context.settings.vm) {
             continue;
         }
-        auto &lane = m_lanes[server.id];
-        if (!lane) {
-            lane = std::make_unique<Lane>(m_context.clock, server);
+        auto &localServer = m_localServers[server.id];
+        if (!localServer) {
+            localServer = std::make_unique<LocalServer>(m_context.clock, server);
             PAPAYASTEP_LOG(INFO, logPrefix)
                 << "Serves a backend server." << base::field("server", server.id) << base::field("slots", server.slots);
         }
-        lane->server = server;
-        lane->queue.setSlots(server.slots);
+        localServer->configured = server;
+        localServer->queue.setSlots(server.slots);
     }
-    std::erase_if(m_lanes, [](const auto &entry) {
-        return entry.second->gone && entry.second->queue.running() == 0 && entry.second->queue.queued() == 0;
+    std::erase_if(m_localServers, [](const auto &entry) {
+        return entry.second->removed && entry.second->queue.running() == 0 && entry.second->queue.queued() == 0;
     });
 }
 
 void ServingNode::poll()
 {
-    for (auto &[id, lane] : m_lanes) {
-        for (const limits::QueueDecision &decision : lane->queue.poll()) {
-            const auto found = m_work.find(decision.attempt);
-            if (found == m_work.end()) {
-                lane->queue.finished(decision.attempt, false);
+    for (auto &[id, localServer] : m_localServers) {
+        for (const limits::QueueDecision &decision : localServer->queue.poll()) {
+            const auto found = m_attempts.find(decision.attempt);
+            if (found == m_attempts.end()) {
+                localServer->queue.finished(decision.attempt, false);
                 continue;
             }
             if (!decision.start) {
@@ -365,34 +366,36 @@
             found->second->decision = decision;
             found->second->changed.notify();
         }
-        m_context.health.setQueueLength(id, static_cast<int>(lane->queue.queued()));
+        m_context.health.setQueueLength(id, static_cast<int>(localServer->queue.queued()));
     }
 }
 
-bool ServingNode::mayBecomeOverdue(const Work &work)
+bool ServingNode::mayBecomeOverdue(const ActiveAttempt &activeAttempt)
 {
-    const bool isWatched = work.running && !work.overdue && laneOf(work.hop.server) != nullptr;
-    return isWatched && !m_pauses.stoodStillSince(work.started);
+    const bool isWatched
+        = activeAttempt.running && !activeAttempt.overdue && findLocalServer(activeAttempt.hop.server) != nullptr;
+    return isWatched && !m_pauses.stoodStillSince(activeAttempt.started);
 }
 
-base::TimePoint ServingNode::overdueAt(const Work &work)
+base::TimePoint ServingNode::overdueAt(const ActiveAttempt &activeAttempt)
 {
-    const Lane &lane = *laneOf(work.hop.server);
-    const base::Duration usual = m_context.health.usualLatency(lane.server.service);
-    const limits::RunTimes &runs = lane.queue.runTimes();
-    return work.started + health::overdueAfter(runs.mean(work.hop.route), runs.runs(work.hop.route), usual);
+    const LocalServer &localServer = *findLocalServer(activeAttempt.hop.server);
+    const base::Duration usual = m_context.health.usualLatency(localServer.configured.service);
+    const limits::RunTimes &runs = localServer.queue.runTimes();
+    return activeAttempt.started
+        + health::overdueAfter(runs.mean(activeAttempt.hop.route), runs.runs(activeAttempt.hop.route), usual);
 }
 
 /// How long the next run of the route will take. How the server compares with its siblings grows old while it runs
 /// nothing.
-base::Duration ServingNode::expectedRun(const Lane &lane, const base::RouteId &route) const
+base::Duration ServingNode::expectedRun(const LocalServer &localServer, const base::RouteId &route) const
 {
-    const limits::RunTimes &runs = lane.queue.runTimes();
-    const base::Duration usual = m_context.health.usualLatency(lane.server.service);
+    const limits::RunTimes &runs = localServer.queue.runTimes();
+    const base::Duration usual = m_context.health.usualLatency(localServer.configured.service);
     if (runs.runs() == 0) {
         return usual > base::Duration::zero() ? usual : runs.mean();
     }
-    const auto idleSince = lane.queue.idleSince();
+    const auto idleSince = localServer.queue.idleSince();
     const base::Duration age = idleSince ? m_context.clock.now() - *idleSince : base::Duration::zero();
     const std::chrono::duration<double> drifted = health::driftedLatency(runs.mean(), usual, age);
     const double slowness = drifted / std::max(runs.mean(), shortestMean);
@@ -402,28 +405,28 @@
 /// A server that hangs answers nobody, so no failure is seen until the deadlines pass. The age of what runs shows it
 /// sooner; the entry is told, which may run it elsewhere while there is still time. It goes on here: the entry may have
 /// no repeat left, and to break off what may only be slow would lose it.
-void ServingNode::watchOverdue()
+void ServingNode::checkOverdueAttempts()
 {
     const auto now = m_context.clock.now();
-    for (const auto &[id, work] : m_work) {
-        if (!mayBecomeOverdue(*work) || now < overdueAt(*work)) {
+    for (const auto &[id, activeAttempt] : m_attempts) {
+        if (!mayBecomeOverdue(*activeAttempt) || now < overdueAt(*activeAttempt)) {
             continue;
         }
-        Lane *lane = laneOf(work->hop.server);
-        work->overdue = true;
-        if (lane->hold.noteOverdue(now) == health::HoldChange::Held) {
-            tellHeld(*lane, "overdue");
+        LocalServer *localServer = findLocalServer(activeAttempt->hop.server);
+        activeAttempt->overdue = true;
+        if (localServer->hold.noteOverdue(now) == health::HoldChange::Held) {
+            notifyHold(*localServer, "overdue");
         }
-        const bool mayMoveOn
-            = work->hop.idempotent && work->deadline - now > lane->queue.runTimes().mean(work->hop.route);
-        PAPAYASTEP_LOG(INFO, logPrefix) << "An attempt is overdue." << base::field("request", work->hop.shownId())
-                                        << base::field("server", work->hop.server)
-                                        << base::field("runMs", milliseconds(now - work->started))
-                                        << base::field("usualMs",
-                                                       milliseconds(lane->queue.runTimes().mean(work->hop.route)))
-                                        << base::field("grayPercent", int{lane->grayPercent(now)});
-        if (mayMoveOn && lane->hold.grayProbability(now) > suspectAbove) {
-            work->suspect();
+        const bool mayMoveOn = activeAttempt->hop.idempotent
+            && activeAttempt->deadline - now > localServer->queue.runTimes().mean(activeAttempt->hop.route);
+        PAPAYASTEP_LOG(INFO, logPrefix)
+            << "An attempt is overdue." << base::field("request", activeAttempt->hop.shownId())
+            << base::field("server", activeAttempt->hop.server)
+            << base::field("runMs", milliseconds(now - activeAttempt->started))
+            << base::field("usualMs", milliseconds(localServer->queue.runTimes().mean(activeAttempt->hop.route)))
+            << base::field("grayPercent", int{localServer->grayPercent(now)});
+        if (mayMoveOn && localServer->hold.grayProbability(now) > suspectAbove) {
+            activeAttempt->onHangSuspected();
         }
     }
 }
@@ -432,22 +435,22 @@
 {
     m_pauses.look();
     m_registry.tick();
-    watchOverdue();
+    checkOverdueAttempts();
     poll();
 }
 
 std::optional<base::TimePoint> ServingNode::nextTick()
 {
     std::optional<base::TimePoint> next;
-    for (const auto &[id, lane] : m_lanes) {
-        const auto due = lane->queue.nextTick();
+    for (const auto &[id, localServer] : m_localServers) {
+        const auto due = localServer->queue.nextTick();
         if (due && (!next || *due < *next)) {
             next = due;
         }
     }
-    for (const auto &[id, work] : m_work) {
-        if (mayBecomeOverdue(*work)) {
-            const auto due = overdueAt(*work);
+    for (const auto &[id, activeAttempt] : m_attempts) {
+        if (mayBecomeOverdue(*activeAttempt)) {
+            const auto due = overdueAt(*activeAttempt);
             next = std::min(next.value_or(due), due);
         }
     }
@@ -456,15 +459,17 @@
 
 std::size_t ServingNode::inFlight() const
 {
-    return m_work.size();
+    return m_attempts.size();
 }
 
 std::map<base::ServiceId, SlotUse> ServingNode::slotUse() const
 {
     std::map<base::ServiceId, SlotUse> result;
-    for (const auto &[id, lane] : m_lanes) {
-        result[lane->server.service]
-            += {lane->queue.slots(), lane->queue.running(), lane->queue.queued(), lane->hold.isHeldBack() ? 1U : 0U};
+    for (const auto &[id, localServer] : m_localServers) {
+        result[localServer->configured.service] += {localServer->queue.slots(),
+                                                    localServer->queue.running(),
+                                                    localServer->queue.queued(),
+                                                    localServer->hold.isHeldBack() ? 1U : 0U};
     }
     return result;
 }
@@ -472,23 +477,23 @@
 std::size_t ServingNode::queued() const
 {
     std::size_t count = 0;
-    for (const auto &[id, lane] : m_lanes) {
-        count += lane->queue.queued();
+    for (const auto &[id, localServer] : m_localServers) {
+        count += localServer->queue.queued();
     }
     return count;
 }
 
-ServingNode::Lane *ServingNode::laneOf(const base::BackendServerId &server)
+ServingNode::LocalServer *ServingNode::findLocalServer(const base::BackendServerId &server)
 {
-    const auto found = m_lanes.find(server);
-    return found != m_lanes.end() ? found->second.get() : nullptr;
+    const auto found = m_localServers.find(server);
+    return found != m_localServers.end() ? found->second.get() : nullptr;
 }
 
 // The entry may hold an older configuration in which a withdrawn key still stands. The newer of the two nodes decides:
 // so a key stops as soon as either of them has heard.
 std::optional<ResultCode> ServingNode::checkKey(const wire::HopRequest &hop) const
 {
-    const auto &configuration = m_context.inForce.configuration;
+    const auto &configuration = m_context.active.configuration;
     if (!configuration) {
         return ResultCode::NodeNotReady;
     }
@@ -511,8 +516,8 @@
                                                    bool idempotent,
                                                    bool lastResort)
 {
-    Lane *lane = laneOf(server);
-    if (lane == nullptr || lane->gone || lane->server.drain) {
+    LocalServer *localServer = findLocalServer(server);
+    if (localServer == nullptr || localServer->removed || localServer->configured.drain) {
         return ResultCode::HopBackendServerGone;
     }
     if (m_context.draining) {
@@ -521,7 +526,7 @@
     if (!m_context.settings.ejection || lastResort) {
         return std::nullopt;
     }
-    if (isHeldBack(*lane, idempotent)) {
+    if (isHeldBack(*localServer, idempotent)) {
         return ResultCode::HopBackendServerEjected;
     }
     switch (m_context.health.admission(server)) {
@@ -529,9 +534,10 @@
     case health::Admission::Unknown:
         return std::nullopt;
     case health::Admission::TrialFull:
-        return m_context.settings.holdsByFilter() ? std::nullopt : std::optional(ResultCode::HopQueueFull);
+        return m_context.settings.usesOnlyFailureFilter() ? std::nullopt : std::optional(ResultCode::HopQueueFull);
     case health::Admission::Ejected:
-        return m_context.settings.holdsByFilter() ? std::nullopt : std::optional(ResultCode::HopBackendServerEjected);
+        return m_context.settings.usesOnlyFailureFilter() ? std::nullopt
+                                                          : std::optional(ResultCode::HopBackendServerEjected);
     case health::Admission::Draining:
         return ResultCode::HopBackendServerGone;
     }
@@ -540,17 +546,18 @@
 
 /// A refusal here proves that the request did not run, so that the entry can send it elsewhere at once. On trial the
 /// one request that shows how the server is should be one that may fail.
-bool ServingNode::isHeldBack(const Lane &lane, bool idempotent) const
+bool ServingNode::isHeldBack(const LocalServer &localServer, bool idempotent) const
 {
-    return !lane.hold.admits(idempotent, m_context.clock.now());
+    return !localServer.hold.admits(idempotent, m_context.clock.now());
 }
 
-std::optional<ResultCode> ServingNode::beginWork(Work &work)
+std::optional<ResultCode> ServingNode::registerAttempt(ActiveAttempt &activeAttempt)
 {
-    const routing::AttemptId id{work.hop.requestId(), static_cast<int>(work.hop.attempt)};
-    const routing::SentStamp stamp{work.hop.entry, work.hop.entryIncarnation, base::Duration(work.hop.sent)};
-    const routing::Begin begin = m_registry.begin(id, stamp, base::Duration(work.hop.remaining));
-    work.deadline = begin.deadline;
+    const routing::AttemptId id{activeAttempt.hop.requestId(), static_cast<int>(activeAttempt.hop.attempt)};
+    const routing::SentStamp stamp{
+        activeAttempt.hop.entry, activeAttempt.hop.entryIncarnation, base::Duration(activeAttempt.hop.sent)};
+    const routing::Begin begin = m_registry.begin(id, stamp, base::Duration(activeAttempt.hop.remaining));
+    activeAttempt.deadline = begin.deadline;
     switch (begin.result) {
     case routing::BeginResult::Accepted:
         return std::nullopt;
@@ -566,178 +573,186 @@
     return ResultCode::Internal;
 }
 
-limits::QueueOffer ServingNode::offerOf(const Work &work) const
+limits::QueueOffer ServingNode::queueOffer(const ActiveAttempt &activeAttempt) const
 {
     limits::QueueOffer offer;
-    offer.attempt = work.id();
-    offer.workspace = work.hop.workspace;
-    offer.route = work.hop.route;
-    offer.isCall = work.hop.isCall;
-    offer.deadline = work.deadline;
-    offer.priority = work.hop.priority;
-    if (work.hop.wantedIn > 0) {
-        offer.wanted = work.deadline - base::Duration(work.hop.remaining - work.hop.wantedIn);
+    offer.attempt = activeAttempt.id();
+    offer.workspace = activeAttempt.hop.workspace;
+    offer.route = activeAttempt.hop.route;
+    offer.isCall = activeAttempt.hop.isCall;
+    offer.deadline = activeAttempt.deadline;
+    offer.priority = activeAttempt.hop.priority;
+    if (activeAttempt.hop.wantedIn > 0) {
+        offer.wanted
+            = activeAttempt.deadline - base::Duration(activeAttempt.hop.remaining - activeAttempt.hop.wantedIn);
     }
     return offer;
 }
 
-net::Awaitable<void> ServingNode::waitForSlot(WorkPtr work)
+net::Awaitable<void> ServingNode::waitForSlot(ActiveAttemptPtr activeAttempt)
 {
-    while (!work->decision && !work->stopped) {
-        co_await work->changed.waitUntil(work->deadline + std::chrono::seconds(1));
+    while (!activeAttempt->decision && !activeAttempt->stopped) {
+        co_await activeAttempt->changed.waitUntil(activeAttempt->deadline + std::chrono::seconds(1));
     }
 }
 
-net::Awaitable<void> ServingNode::runOnBackend(WorkPtr work, net::ClientRequest request)
+net::Awaitable<void> ServingNode::runOnBackend(ActiveAttemptPtr activeAttempt, net::ClientRequest request)
 {
-    const config::BackendServer &server = laneOf(work->hop.server)->server;
+    const config::BackendServer &server = findLocalServer(activeAttempt->hop.server)->server;
     const net::Endpoint endpoint{server.address, server.port};
-    work->started = m_context.clock.now();
-    work->running = true;
-    work->exchange = std::make_shared<net::HttpExchange>(m_context.io, m_context.backendPool, endpoint);
-    m_context.metrics.observeQueueWait(server.service, work->started - work->arrived);
-    m_context.health.attemptStarted(work->hop.server, work->healthKey(), work->hop.route);
-    m_runCalls.started(work->healthKey(), work->deadline);
-    Lane &lane = *laneOf(work->hop.server);
-    lane.hold.started(work->healthKey(), work->started);
-    PAPAYASTEP_LOG(INFO, logPrefix) << "Started an attempt." << base::field("request", work->hop.shownId())
-                                    << base::field("attempt", work->hop.attempt)
-                                    << base::field("entry", work->hop.entry) << base::field("server", work->hop.server)
-                                    << base::field("waitedMs", milliseconds(work->started - work->arrived))
-                                    << base::field("running", lane.queue.running())
-                                    << base::field("queued", lane.queue.queued())
-                                    << base::field("grayPercent", int{lane.grayPercent(work->started)})
-                                    << base::field("usualMs", milliseconds(lane.queue.runTimes().mean(work->hop.route)))
-                                    << base::field("offers", lane.offers)
-                                    << base::field("sinceLastMs", milliseconds(work->started - lane.lastStart));
-    lane.lastStart = work->started;
-    lane.offers = 0;
+    activeAttempt->started = m_context.clock.now();
+    activeAttempt->running = true;
+    activeAttempt->exchange = std::make_shared<net::HttpExchange>(m_context.io, m_context.backendPool, endpoint);
+    m_context.metrics.observeQueueWait(server.service, activeAttempt->started - activeAttempt->arrived);
+    m_context.health.attemptStarted(activeAttempt->hop.server, activeAttempt->healthKey(), activeAttempt->hop.route);
+    m_runCalls.started(activeAttempt->healthKey(), activeAttempt->deadline);
+    LocalServer &localServer = *findLocalServer(activeAttempt->hop.server);
+    localServer.hold.started(activeAttempt->healthKey(), activeAttempt->started);
+    PAPAYASTEP_LOG(INFO, logPrefix)
+        << "Started an attempt." << base::field("request", activeAttempt->hop.shownId())
+        << base::field("attempt", activeAttempt->hop.attempt) << base::field("entry", activeAttempt->hop.entry)
+        << base::field("server", activeAttempt->hop.server)
+        << base::field("waitedMs", milliseconds(activeAttempt->started - activeAttempt->arrived))
+        << base::field("running", localServer.queue.running()) << base::field("queued", localServer.queue.queued())
+        << base::field("grayPercent", int{localServer.grayPercent(activeAttempt->started)})
+        << base::field("usualMs", milliseconds(localServer.queue.runTimes().mean(activeAttempt->hop.route)))
+        << base::field("offers", localServer.offersSinceStart)
+        << base::field("sinceLastMs", milliseconds(activeAttempt->started - localServer.lastStart));
+    localServer.lastStart = activeAttempt->started;
+    localServer.offersSinceStart = 0;
 
     BackendCall call;
-    call.request = work->hop.requestId();
-    call.server = work->hop.server;
-    call.workspace = work->hop.workspace;
-    call.callerService = work->hop.callerService;
-    call.remaining = work->deadline - work->started;
+    call.request = activeAttempt->hop.requestId();
+    call.server = activeAttempt->hop.server;
+    call.workspace = activeAttempt->hop.workspace;
+    call.callerService = activeAttempt->hop.callerService;
+    call.remaining = activeAttempt->deadline - activeAttempt->started;
     m_context.backends().prepare(request.head, call);
-    work->exchange->onHead([this, &verdict = work->verdict, sent = request.head](const net::ResponseHead &head) {
-        verdict = m_context.backends().judge(head, sent);
-        return verdict != AnswerVerdict::OtherRequest;
-    });
+    activeAttempt->exchange->onHead(
+        [this, &answerKind = activeAttempt->answerKind, sent = request.head](const net::ResponseHead &head) {
+            answerKind = m_context.backends().classify(head, sent);
+            return answerKind != AnswerKind::OtherRequest;
+        });
 
     net::asio::steady_timer deadline(m_context.io);
-    deadline.expires_after(work->deadline - work->started);
-    deadline.async_wait([weak = std::weak_ptr<Work>(work)](const net::beast::error_code &error) {
+    deadline.expires_after(activeAttempt->deadline - activeAttempt->started);
+    deadline.async_wait([weak = std::weak_ptr<ActiveAttempt>(activeAttempt)](const net::beast::error_code &error) {
         const auto late = weak.lock();
         if (!error && late && late->running) {
             late->timedOut = true;
             late->exchange->cancel();
         }
     });
-    const config::Route *route = m_context.inForce.configuration->route(work->hop.route);
+    const config::Route *route = m_context.active.configuration->route(activeAttempt->hop.route);
     const bool stream = route != nullptr && route->stream;
-    co_await work->exchange->run(std::move(request), stream ? holdBytesOfStream : holdBytes);
+    co_await activeAttempt->exchange->run(std::move(request), stream ? streamAnswerBufferBytes : answerBufferBytes);
 }
 
-void ServingNode::finishWork(Work &work, health::AttemptOutcome outcome)
+void ServingNode::finishAttempt(ActiveAttempt &activeAttempt, health::AttemptOutcome outcome)
 {
-    work.running = false;
-    m_runCalls.ended(work.healthKey());
-    m_context.health.attemptFinished(work.hop.server, work.healthKey(), outcome, m_context.clock.now() - work.started);
-    m_registry.finish({work.hop.requestId(), static_cast<int>(work.hop.attempt)});
-    if (Lane *lane = laneOf(work.hop.server)) {
+    activeAttempt.running = false;
+    m_runCalls.ended(activeAttempt.healthKey());
+    m_context.health.attemptFinished(
+        activeAttempt.hop.server, activeAttempt.healthKey(), outcome, m_context.clock.now() - activeAttempt.started);
+    m_registry.finish({activeAttempt.hop.requestId(), static_cast<int>(activeAttempt.hop.attempt)});
+    if (LocalServer *localServer = findLocalServer(activeAttempt.hop.server)) {
         const bool ranToItsEnd
             = outcome == health::AttemptOutcome::Success || outcome == health::AttemptOutcome::Timeout;
         m_pauses.look();
-        lane->queue.finished(work.id(), ranToItsEnd && !m_pauses.stoodStillSince(work.started));
+        localServer->queue.finished(activeAttempt.id(),
+                                    ranToItsEnd && !m_pauses.stoodStillSince(activeAttempt.started));
         m_context.metrics.countServed(
-            {lane->server.service, health::name(outcome), m_context.clock.now() - work.started});
-        noteOutcome(*lane, work, outcome);
+            {localServer->configured.service, health::name(outcome), m_context.clock.now() - activeAttempt.started});
+        recordOutcome(*localServer, activeAttempt, outcome);
     }
-    m_work.erase(work.id());
+    m_attempts.erase(activeAttempt.id());
     m_context.schedulePump();
 }
 
-void ServingNode::noteEntry(Lane &lane, const base::VmId &entry)
+void ServingNode::recordEntry(LocalServer &localServer, const base::VmId &entry)
 {
     const auto now = m_context.clock.now();
-    if (lane.entries.size() >= mostNotified) {
-        std::erase_if(lane.entries, [&](const auto &known) { return now - known.second > entryMemory; });
+    if (localServer.recentEntries.size() >= mostNotified) {
+        std::erase_if(localServer.recentEntries, [&](const auto &known) { return now - known.second > entryMemory; });
     }
-    if (entry != m_context.settings.vm && (lane.entries.size() < mostNotified || lane.entries.contains(entry))) {
-        lane.entries[entry] = now;
+    if (entry != m_context.settings.vm
+        && (localServer.recentEntries.size() < mostNotified || localServer.recentEntries.contains(entry))) {
+        localServer.recentEntries[entry] = now;
     }
 }
 
 /// Tells the entries that lately used the server, so that each need not find out by a refusal.
-void ServingNode::tellHeld(const Lane &lane, std::string_view evidence)
+void ServingNode::notifyHold(const LocalServer &localServer, std::string_view evidence)
 {
     const auto now = m_context.clock.now();
-    const base::BackendServerId &server = lane.server.id;
-    m_context.gray.note(server, lane.hold.grayProbability(now));
-    m_context.metrics.countHold(lane.server.service, evidence);
+    const base::BackendServerId &server = localServer.configured.id;
+    m_context.gray.note(server, localServer.hold.grayProbability(now));
+    m_context.metrics.countHold(localServer.configured.service, evidence);
     PAPAYASTEP_LOG(INFO, logPrefix) << "Holds a backend server back." << base::field("server", server)
                                     << base::field("evidence", evidence)
-                                    << base::field("grayPercent", int{lane.grayPercent(now)});
-    const health::GrayNotice notice{server.value(), lane.grayPercent(now)};
-    for (const auto &[entry, seen] : lane.entries) {
+                                    << base::field("grayPercent", int{localServer.grayPercent(now)});
+    const health::GrayNotice notice{server.value(), localServer.grayPercent(now)};
+    for (const auto &[entry, seen] : localServer.recentEntries) {
         if (now - seen <= entryMemory) {
             m_context.send(wire::outgoing(entry, wire::MessageKind::GrayNotice, notice));
         }
     }
 }
 
-void ServingNode::noteOutcome(Lane &lane, const Work &work, health::AttemptOutcome outcome)
+void ServingNode::recordOutcome(LocalServer &localServer,
+                                const ActiveAttempt &activeAttempt,
+                                health::AttemptOutcome outcome)
 {
     const auto now = m_context.clock.now();
     const bool timedOut = outcome == health::AttemptOutcome::Timeout;
-    if (timedOut && (work.overdue || m_pauses.stoodStillSince(work.started))) {
+    if (timedOut && (activeAttempt.overdue || m_pauses.stoodStillSince(activeAttempt.started))) {
         // Counted when it became overdue, or the time has passed while this process stood still.
         outcome = health::AttemptOutcome::CancelledByUs;
     }
-    switch (lane.hold.ended(work.healthKey(), outcome, now)) {
+    switch (localServer.hold.ended(activeAttempt.healthKey(), outcome, now)) {
     case health::HoldChange::Held:
-        tellHeld(lane, "failed");
+        notifyHold(localServer, "failed");
         break;
     case health::HoldChange::Returned:
-        m_context.metrics.countReturn(lane.server.service);
+        m_context.metrics.countReturn(localServer.configured.service);
         PAPAYASTEP_LOG(INFO, logPrefix) << "A backend server answers again."
-                                        << base::field("request", work.hop.shownId())
-                                        << base::field("server", work.hop.server);
+                                        << base::field("request", activeAttempt.hop.shownId())
+                                        << base::field("server", activeAttempt.hop.server);
         break;
     case health::HoldChange::None:
         break;
     }
     if (outcome == health::AttemptOutcome::Success) {
-        m_context.gray.note(work.hop.server, lane.hold.grayProbability(now));
+        m_context.gray.note(activeAttempt.hop.server, localServer.hold.grayProbability(now));
     } else if (isFailure(outcome)) {
-        PAPAYASTEP_LOG(INFO, logPrefix) << "A backend server failed." << base::field("request", work.hop.shownId())
-                                        << base::field("server", work.hop.server)
+        PAPAYASTEP_LOG(INFO, logPrefix) << "A backend server failed."
+                                        << base::field("request", activeAttempt.hop.shownId())
+                                        << base::field("server", activeAttempt.hop.server)
                                         << base::field("how", health::name(outcome))
-                                        << base::field("runMs", milliseconds(now - work.started))
-                                        << base::field("grayPercent", int{lane.grayPercent(now)});
+                                        << base::field("runMs", milliseconds(now - activeAttempt.started))
+                                        << base::field("grayPercent", int{localServer.grayPercent(now)});
     }
 }
 
-ServedAnswer ServingNode::answerOf(const WorkPtr &work)
+ServedAnswer ServingNode::answerOf(const ActiveAttemptPtr &activeAttempt)
 {
-    const net::HttpExchange &exchange = *work->exchange;
+    const net::HttpExchange &exchange = *activeAttempt->exchange;
     ServedAnswer answer;
     const bool headCame = exchange.progress() >= net::ExchangeProgress::HeadReceived;
-    const bool proven = work->verdict != AnswerVerdict::Unproven;
+    const bool proven = activeAttempt->answerKind != AnswerKind::Unproven;
     if (headCame && proven && exchange.failure() == net::ExchangeFailure::None) {
-        if (work->verdict == AnswerVerdict::NotRun || work->verdict == AnswerVerdict::OtherServer) {
-            return refusedByServer(work);
+        if (activeAttempt->answerKind == AnswerKind::NotRun || activeAttempt->answerKind == AnswerKind::OtherServer) {
+            return refusedByServer(activeAttempt);
         }
         answer.head = exchange.head();
-        answer.body = std::move(work->exchange->body());
-        const auto outcome = outcomeOf(*work, exchange.head().result());
+        answer.body = std::move(activeAttempt->exchange->body());
+        const auto outcome = outcomeOf(*activeAttempt, exchange.head().result());
         if (exchange.progress() == net::ExchangeProgress::Complete) {
-            finishWork(*work, outcome);
+            finishAttempt(*activeAttempt, outcome);
         } else {
-            answer.rest = std::make_unique<BackendBody>(*this, work);
+            answer.remainingBody = std::make_unique<BackendBody>(*this, activeAttempt);
         }
-        answer.reply = replyOf(*work);
+        answer.reply = replyOf(*activeAttempt);
         answer.reply.callFailed = outcome == health::AttemptOutcome::CallFailed;
         return answer;
     }
@@ -746,116 +761,121 @@
     const bool neverSent = exchange.progress() == net::ExchangeProgress::Connecting;
     auto outcome = neverSent ? health::AttemptOutcome::ConnectionRefused : health::AttemptOutcome::Partial;
     auto code = neverSent ? ResultCode::HopBackendServerRefused : ResultCode::AnswerIncomplete;
-    if (work->timedOut) {
+    if (activeAttempt->timedOut) {
         outcome = health::AttemptOutcome::Timeout;
         code = ResultCode::DeadlineExceeded;
-    } else if (work->stopped) {
+    } else if (activeAttempt->stopped) {
         outcome = health::AttemptOutcome::CancelledByUs;
         code = ResultCode::HopCancelled;
     }
     if (neverSent) {
-        finishWork(*work, outcome);
-        return refusalOf(*work, code, {});
+        finishAttempt(*activeAttempt, outcome);
+        return refusalOf(*activeAttempt, code, {});
     }
-    finishWork(*work, outcome);
-    answer.reply = replyOf(*work);
+    finishAttempt(*activeAttempt, outcome);
+    answer.reply = replyOf(*activeAttempt);
     answer.reply.outcome = static_cast<std::uint8_t>(wire::HopOutcome::Unknown);
     answer.reply.code = number(code);
-    PAPAYASTEP_LOG(WARNING, logPrefix) << "Got no whole answer." << base::field("request", work->hop.shownId())
-                                       << base::field("server", work->hop.server) << base::field("code", number(code));
+    PAPAYASTEP_LOG(WARNING, logPrefix) << "Got no whole answer." << base::field("request", activeAttempt->hop.shownId())
+                                       << base::field("server", activeAttempt->hop.server)
+                                       << base::field("code", number(code));
     return answer;
 }
 
-health::AttemptOutcome ServingNode::outcomeOf(const Work &work, net::http::status status)
+health::AttemptOutcome ServingNode::outcomeOf(const ActiveAttempt &activeAttempt, net::http::status status)
 {
-    const auto outcome = outcomeOfAnswer(work.verdict, status);
-    if (outcome != health::AttemptOutcome::Error || !m_runCalls.explainsFailure(work.healthKey())) {
+    const auto outcome = outcomeOfAnswer(activeAttempt.answerKind, status);
+    if (outcome != health::AttemptOutcome::Error || !m_runCalls.explainsFailure(activeAttempt.healthKey())) {
         return outcome;
     }
     PAPAYASTEP_LOG(INFO, logPrefix) << "A run failed because its call did."
-                                    << base::field("request", work.hop.shownId())
-                                    << base::field("server", work.hop.server);
+                                    << base::field("request", activeAttempt.hop.shownId())
+                                    << base::field("server", activeAttempt.hop.server);
     return health::AttemptOutcome::CallFailed;
 }
 
 /// The backend server itself says that it did not run the attempt, which is proof.
-ServedAnswer ServingNode::refusedByServer(const WorkPtr &work)
+ServedAnswer ServingNode::refusedByServer(const ActiveAttemptPtr &activeAttempt)
 {
-    const bool otherServer = work->verdict == AnswerVerdict::OtherServer;
-    finishWork(*work, outcomeOfAnswer(work->verdict, work->exchange->head().result()));
-    return refusalOf(*work, otherServer ? ResultCode::HopBackendServerReplaced : ResultCode::HopBackendServerShed, {});
+    const bool otherServer = activeAttempt->answerKind == AnswerKind::OtherServer;
+    finishAttempt(*activeAttempt, outcomeOfAnswer(activeAttempt->answerKind, activeAttempt->exchange->head().result()));
+    return refusalOf(
+        *activeAttempt, otherServer ? ResultCode::HopBackendServerReplaced : ResultCode::HopBackendServerShed, {});
 }
 
-ServedAnswer ServingNode::refusalOf(const Work &work, ResultCode code, base::Duration retryAfter)
+ServedAnswer ServingNode::refusalOf(const ActiveAttempt &activeAttempt, ResultCode code, base::Duration retryAfter)
 {
     // A replay says nothing about what the first copy did, so it is the one refusal that is not a `not-run`.
     const bool replayed = code == ResultCode::HopReplayed;
     ServedAnswer answer;
-    answer.reply = replyOf(work);
+    answer.reply = replyOf(activeAttempt);
     answer.reply.outcome = static_cast<std::uint8_t>(replayed ? wire::HopOutcome::Unknown : wire::HopOutcome::NotRun);
     answer.reply.code = number(code);
     answer.reply.retryAfterMs = milliseconds(retryAfter);
-    answer.reply.advice = replayed ? base::BackendServerId() : advise(work);
+    answer.reply.advice = replayed ? base::BackendServerId() : advise(activeAttempt);
     m_context.metrics.countRefusedAttempt(code);
-    logRefusal(work, answer.reply);
+    logRefusal(activeAttempt, answer.reply);
     return answer;
 }
 
 /// With what the decision went by: the server's queue and how gray it was taken for.
-void ServingNode::logRefusal(const Work &work, const wire::HopReply &reply) const
-{
-    const auto found = m_lanes.find(work.hop.server);
-    const Lane *lane = found != m_lanes.end() ? found->second.get() : nullptr;
-    PAPAYASTEP_LOG(INFO, logPrefix) << "Refused an attempt." << base::field("request", work.hop.shownId())
-                                    << base::field("attempt", work.hop.attempt) << base::field("entry", work.hop.entry)
-                                    << base::field("server", work.hop.server) << base::field("code", reply.code)
-                                    << base::field("running", lane != nullptr ? lane->queue.running() : 0)
-                                    << base::field("queued", lane != nullptr ? lane->queue.queued() : 0)
+void ServingNode::logRefusal(const ActiveAttempt &activeAttempt, const wire::HopReply &reply) const
+{
+    const auto found = m_localServers.find(activeAttempt.hop.server);
+    const LocalServer *localServer = found != m_localServers.end() ? found->second.get() : nullptr;
+    PAPAYASTEP_LOG(INFO, logPrefix) << "Refused an attempt." << base::field("request", activeAttempt.hop.shownId())
+                                    << base::field("attempt", activeAttempt.hop.attempt)
+                                    << base::field("entry", activeAttempt.hop.entry)
+                                    << base::field("server", activeAttempt.hop.server)
+                                    << base::field("code", reply.code)
+                                    << base::field("running", localServer != nullptr ? localServer->queue.running() : 0)
+                                    << base::field("queued", localServer != nullptr ? localServer->queue.queued() : 0)
                                     << base::field("grayPercent", int{reply.grayPercent})
                                     << base::field("revision", reply.revision)
                                     << base::field("retryAfterMs", reply.retryAfterMs)
                                     << base::field("advice", reply.advice);
 }
 
-wire::HopReply ServingNode::replyOf(const Work &work) const
+wire::HopReply ServingNode::replyOf(const ActiveAttempt &activeAttempt) const
 {
     wire::HopReply reply;
-    reply.requestHigh = work.hop.requestHigh;
-    reply.requestLow = work.hop.requestLow;
-    reply.attempt = work.hop.attempt;
-    reply.server = work.hop.server;
-    if (m_context.inForce.configuration) {
-        reply.revision = m_context.inForce.configuration->revision();
+    reply.requestHigh = activeAttempt.hop.requestHigh;
+    reply.requestLow = activeAttempt.hop.requestLow;
+    reply.attempt = activeAttempt.hop.attempt;
+    reply.server = activeAttempt.hop.server;
+    if (m_context.active.configuration) {
+        reply.revision = m_context.active.configuration->revision();
     }
     const auto now = m_context.clock.now();
-    if (work.started != base::TimePoint()) {
-        reply.queueMicros = static_cast<std::uint32_t>(microseconds(work.started - work.arrived));
-        reply.serverMicros = static_cast<std::uint32_t>(microseconds(now - work.started));
+    if (activeAttempt.started != base::TimePoint()) {
+        reply.queueMicros = static_cast<std::uint32_t>(microseconds(activeAttempt.started - activeAttempt.arrived));
+        reply.serverMicros = static_cast<std::uint32_t>(microseconds(now - activeAttempt.started));
     }
-    const auto lane = m_lanes.find(work.hop.server);
-    if (lane != m_lanes.end()) {
-        reply.grayPercent = lane->second->grayPercent(now);
+    const auto localServer = m_localServers.find(activeAttempt.hop.server);
+    if (localServer != m_localServers.end()) {
+        reply.grayPercent = localServer->second->grayPercent(now);
     }
-    reply.report = wire::encode(m_context.health.report(work.hop.server));
+    reply.report = wire::encode(m_context.health.report(activeAttempt.hop.server));
     return reply;
 }
 
 // An entry of a large fleet sees a service too seldom to know its servers well; this node hears of its siblings every
 // second. So a refusal names the sibling that should be asked next, and the entry need not guess again.
-base::BackendServerId ServingNode::advise(const Work &work)
+base::BackendServerId ServingNode::advise(const ActiveAttempt &activeAttempt)
 {
-    const auto &configuration = m_context.inForce.configuration;
-    if (!configuration || work.hop.redirected) {
+    const auto &configuration = m_context.active.configuration;
+    if (!configuration || activeAttempt.hop.redirected) {
         return {};
     }
-    const config::BackendServer *server = configuration->backendServer(work.hop.server);
+    const config::BackendServer *server = configuration->backendServer(activeAttempt.hop.server);
     if (server == nullptr) {
         return {};
     }
     const auto candidates = candidatesOf(m_context, server->service);
-    routing::PlacementRequest request{m_context.settings.zone, work.hop.idempotent, {work.hop.server}};
-    request.remaining = base::Duration(work.hop.remaining);
-    request.wantedIn = base::Duration(work.hop.wantedIn);
+    routing::PlacementRequest request{
+        m_context.settings.zone, activeAttempt.hop.idempotent, {activeAttempt.hop.server}};
+    request.remaining = base::Duration(activeAttempt.hop.remaining);
+    request.wantedIn = base::Duration(activeAttempt.hop.wantedIn);
     const auto placement = m_context.placement->place(candidates, request, m_context.random);
     return placement.candidate ? candidates[*placement.candidate].server : base::BackendServerId();
 }
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -276,12 +276,12 @@
     std::string secret;
     if (document.contains("secretFile")) {
         secret = trimmed(readFile(document["secretFile"].get<std::string>(), ResultCode::SettingsSecretMissing));
-    } else if (const char *value = std::getenv(secretVariable)) {
+    } else if (const char *value = std::getenv(secretEnvironmentVariable)) {
         secret = value;
     }
     if (secret.size() < minSecretBytes) {
         throw base::Error(ResultCode::SettingsSecretMissing,
-                          "give at least 16 bytes in secretFile or " + std::string(secretVariable));
+                          "give at least 16 bytes in secretFile or " + std::string(secretEnvironmentVariable));
     }
     return secret;
 }
@@ -293,7 +293,7 @@
 
 }
 
-std::string settingsText(const std::string &path)
+std::string readSettingsText(const std::string &path)
 {
     return readFile(path, ResultCode::SettingsUnreadable);
 }
@@ -306,7 +306,7 @@
 NodeSettings readSettings(const std::string &path, const SettingsOverrides &overrides)
 {
     const std::string file = nameOf(path);
-    const Json document = checkedDocument(settingsText(path), file, overrides);
+    const Json document = checkedDocument(readSettingsText(path), file, overrides);
     NodeSettings settings = settingsOf(document, file);
     settings.secret = readSecret(document);
     return settings;
--- a/src/node/settingskeeper.cpp
+++ b/src/node/settingsreloader.cpp
@@ -1,22 +1,22 @@
-#include "papayastep/node/settingskeeper.h"
+#include "papayastep/node/settingsreloader.h"
 
 namespace papayastep::node {
 
-SettingsKeeper::SettingsKeeper(std::string path, SettingsOverrides overrides)
+SettingsReloader::SettingsReloader(std::string path, SettingsOverrides overrides)
     : m_path(std::move(path))
     , m_overrides(std::move(overrides))
 {
 }
 
-NodeSettings SettingsKeeper::first()
+NodeSettings SettingsReloader::load()
 {
-    m_text = settingsText(m_path);
+    m_text = readSettingsText(m_path);
     return readSettings(m_path, m_overrides);
 }
 
-std::optional<NodeSettings> SettingsKeeper::changed()
+std::optional<NodeSettings> SettingsReloader::reloadIfChanged()
 {
-    std::string text = settingsText(m_path);
+    std::string text = readSettingsText(m_path);
     if (text == m_text) {
         return std::nullopt;
     }
@@ -24,7 +24,7 @@
     return readSettings(m_path, m_overrides);
 }
 
-std::string changedForNextStart(const NodeSettings &running, const NodeSettings &fresh)
+std::string settingsNeedingRestart(const NodeSettings &running, const NodeSettings &fresh)
 {
     std::string names;
     const auto add = [&names](bool differs, const char *name) {
@@ -48,7 +48,7 @@
     return names;
 }
 
-NodeSettings takenOver(const NodeSettings &running, const NodeSettings &fresh)
+NodeSettings withReloadableSettings(const NodeSettings &running, const NodeSettings &fresh)
 {
     NodeSettings settings = running;
     settings.retryLimit = fresh.retryLimit;
--- a/src/node/settingskeeper_test.cpp
+++ b/src/node/settingsreloader_test.cpp
@@ -1,5 +1,5 @@
 #include "papayastep/base/error.h"
-#include "papayastep/node/settingskeeper.h"
+#include "papayastep/node/settingsreloader.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -21,7 +21,7 @@
 {
     SettingsFileFixture()
     {
-        setenv(node::secretVariable, "a secret of the tests", 1);
+        setenv(node::secretEnvironmentVariable, "a secret of the tests", 1);
         write(1000, 1);
     }
     ~SettingsFileFixture()
@@ -37,27 +37,27 @@
     }
 
     std::string path = "/tmp/papayastep-settings-" + std::to_string(getpid()) + ".json";
-    node::SettingsKeeper keeper{path, {}};
+    node::SettingsReloader settingsReloader{path, {}};
 };
 
 }
 
-BOOST_FIXTURE_TEST_SUITE(settingsKeeper, SettingsFileFixture)
+BOOST_FIXTURE_TEST_SUITE(settingsReloader, SettingsFileFixture)
 
 BOOST_AUTO_TEST_CASE(settings_sameText_areUnchanged)
 {
-    keeper.first();
-    BOOST_TEST(!keeper.changed().has_value());
+    settingsReloader.load();
+    BOOST_TEST(!settingsReloader.reloadIfChanged().has_value());
 }
 
 BOOST_AUTO_TEST_CASE(settings_newTimeAndAddress_onlyTimeIsTakenOver)
 {
-    const auto running = keeper.first();
+    const auto running = settingsReloader.load();
     write(2000, 9);
-    const auto fresh = keeper.changed();
+    const auto fresh = settingsReloader.reloadIfChanged();
     BOOST_REQUIRE(fresh.has_value());
-    BOOST_TEST(node::changedForNextStart(running, *fresh) == "listen");
-    const auto settings = node::takenOver(running, *fresh);
+    BOOST_TEST(node::settingsNeedingRestart(running, *fresh) == "listen");
+    const auto settings = node::withReloadableSettings(running, *fresh);
     BOOST_TEST((settings.drainTimeout == 2000ms));
     BOOST_TEST(settings.caller.port == 1);
 }
@@ -66,12 +66,12 @@
 // ended, its callers and its backend server would be cut off by a slip of the keyboard.
 BOOST_AUTO_TEST_CASE(settings_brokenText_areRefusedOnce)
 {
-    keeper.first();
+    settingsReloader.load();
     std::ofstream(path) << "{\"vm\": ";
-    BOOST_CHECK_THROW(keeper.changed(), base::Error);
-    BOOST_TEST(!keeper.changed().has_value());
+    BOOST_CHECK_THROW(settingsReloader.reloadIfChanged(), base::Error);
+    BOOST_TEST(!settingsReloader.reloadIfChanged().has_value());
     write(3000, 1);
-    BOOST_TEST(keeper.changed().has_value());
+    BOOST_TEST(settingsReloader.reloadIfChanged().has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
