--- a/src/ctl/requeststory_test.cpp
+++ b/src/ctl/requeststory_test.cpp
@@ -10,17 +10,17 @@
 namespace {
 
 constexpr const char *entryLog
-    = "2026-01-02T03:04:04.000000Z I config: Put a configuration in force. revision=12\n"
+    = "2026-01-02T03:04:04.000000Z I config: Activated a configuration. revision=12\n"
       "2026-01-02T03:04:05.000100Z I routing: Placed an attempt. request=r7 hop=aa server=s1 reason=same-zone\n"
       "2026-01-02T03:04:05.000200Z I routing: Placed an attempt. request=other hop=bb server=s2\n"
       "2026-01-02T03:04:05.300000Z W routing: Refused a request. request=r7 code=3008 outcome=unknown\n";
 constexpr const char *servingLog
-    = "2026-01-02T03:04:03.500000Z I serving: Holds a backend server back. server=s1 grayPercent=90\n"
-      "2026-01-02T03:04:03.600000Z I serving: Holds a backend server back. server=s9 grayPercent=90\n"
+    = "2026-01-02T03:04:03.500000Z I serving: Held back a backend server. server=s1 grayPercent=90\n"
+      "2026-01-02T03:04:03.600000Z I serving: Held back a backend server. server=s9 grayPercent=90\n"
       "a line of another program\n"
       "2026-01-02T03:04:05.0001\n"
       "2026-01-02T03:04:05.100000Z I serving: Started an attempt. request=aa server=s1\n"
-      "2026-01-02T03:04:05.250000Z W serving: Got no whole answer. request=r7 server=s1 code=4007\n";
+      "2026-01-02T03:04:05.250000Z W serving: Received no complete answer. request=r7 server=s1 code=4007\n";
 
 struct StoryFixture
 {
@@ -62,11 +62,11 @@
     for (const LogLine &line : lines) {
         sentences.push_back(line.node + ' ' + line.sentence);
     }
-    const std::vector<std::string> expected{"vm-2 Holds a backend server back.",
-                                            "vm-1 Put a configuration in force.",
+    const std::vector<std::string> expected{"vm-2 Held back a backend server.",
+                                            "vm-1 Activated a configuration.",
                                             "vm-1 Placed an attempt.",
                                             "vm-2 Started an attempt.",
-                                            "vm-2 Got no whole answer.",
+                                            "vm-2 Received no complete answer.",
                                             "vm-1 Refused a request."};
     BOOST_TEST(sentences == expected, boost::test_tools::per_element());
 }
--- a/src/include/papayastep/node/adminhandler.h
+++ b/src/include/papayastep/node/adminhandler.h
@@ -8,7 +8,7 @@
 
 namespace papayastep::node {
 
-/// Read-only pages for operators and Prometheus. Each page is a function from the query to an answer.
+/// Serves read-only pages to operators and Prometheus. Each page is a function that maps the query to an answer.
 class AdminHandler final : public net::RequestHandler
 {
 public:
@@ -24,7 +24,7 @@
     std::map<std::string, Page> m_pages;
 };
 
-/// The pairs of a query string, percent-decoded.
+/// Returns the key-value pairs of a query string, percent-decoded. The last of several equal keys is kept.
 AdminHandler::Query parseQuery(std::string_view query);
 
 }
--- a/src/include/papayastep/node/attempt.h
+++ b/src/include/papayastep/node/attempt.h
@@ -12,37 +12,38 @@
 
 class ServingNode;
 
-/// One attempt as its entry sees it. Runs by itself once started; the entry looks at it whenever it is told of a
-/// change. Always held by a shared_ptr, since it may outlive the entry's interest in it.
+/// One attempt from the point of view of the entry node. It runs independently once it is started; the entry checks it
+/// after each change notification. It is always owned by a shared_ptr, because it may outlive the request at the entry.
 class Attempt : public std::enable_shared_from_this<Attempt>
 {
 public:
     Attempt(NodeContext &context, wire::HopRequest hop, base::VmId vm);
     virtual ~Attempt() = default;
 
-    /// Sends `request`. `changed` is called on each change until detach().
+    /// Sends `request`. `changed` is called on each change until detach() is called.
     virtual void start(net::ClientRequest request, std::function<void()> changed) = 0;
 
-    /// The entry no longer wants the answer.
+    /// Abandons the attempt because the entry no longer needs the answer.
     virtual void abandon() = 0;
 
-    /// Asks the serving node not to start the attempt, and to say whether it has; with `stop`, also to stop it.
+    /// Asks the serving node not to start the attempt and to report whether it has started it. With `stop`, the serving
+    /// node also stops an attempt that is running.
     virtual void requestCancel(bool stop) = 0;
 
-    /// No more calls of `changed`.
+    /// Stops the calls of `changed`.
     void detach();
 
-    /// The answer to requestCancel(), when it comes.
+    /// Takes the answer to requestCancel().
     void cancelAnswered(routing::CancelAnswer answer);
 
     const wire::HopRequest &hop() const;
     const base::VmId &vm() const;
     base::TimePoint startedAt() const;
     bool acknowledged() const;
-    bool reportedHanging() const; ///< Its serving node says that it seems to hang.
-    bool finished() const; ///< answer() is there, or the link failed.
-    bool hopFailed() const; ///< No valid answer came over the hop.
-    bool neverSent() const; ///< With hopFailed(): not a byte was written.
+    bool reportedHanging() const; ///< The serving node reports that the attempt seems to hang.
+    bool finished() const; ///< answer() is available, or the hop failed.
+    bool hopFailed() const; ///< No valid answer was received over the hop.
+    bool neverSent() const; ///< Valid with hopFailed(): no byte was written.
     std::optional<routing::CancelAnswer> cancelAnswer() const;
     ServedAnswer &answer();
 
@@ -65,7 +66,7 @@
 
 using AttemptPtr = std::shared_ptr<Attempt>;
 
-/// An attempt at a backend server of this VM: no hop, no path.
+/// An attempt at a backend server of this VM, which needs no hop and no network path.
 class LocalAttempt final : public Attempt
 {
 public:
@@ -79,7 +80,7 @@
     ServingNode &m_serving;
 };
 
-/// An attempt at a backend server of another VM. Tells the health monitor what it sees of the path.
+/// An attempt at a backend server of another VM. It reports the outcomes of the hop to the health monitor.
 class RemoteAttempt final : public Attempt
 {
 public:
--- a/src/include/papayastep/node/backendprotocol.h
+++ b/src/include/papayastep/node/backendprotocol.h
@@ -9,26 +9,26 @@
 
 namespace papayastep::node {
 
-/// What a backend server is told about a request besides method, path and body.
+/// The data that a backend server receives about a request in addition to method, path and body.
 struct BackendCall
 {
     base::RequestId request;
-    base::BackendServerId server; ///< Who must run it.
-    base::WorkspaceId workspace; ///< Empty: the route is public.
-    base::ServiceId callerService; ///< The service of the VM where the request entered; empty: not known.
-    base::Duration remaining{0}; ///< Until the request's deadline.
+    base::BackendServerId server; ///< The backend server that must run the request.
+    base::WorkspaceId workspace; ///< Empty if the route is public.
+    base::ServiceId callerService; ///< The service of the VM at which the request entered; empty if unknown.
+    base::Duration remaining{0}; ///< Time left until the deadline of the request.
 };
 
-/// What the head of an answer proves.
+/// Classification of an answer by its head.
 enum class AnswerKind {
-    Answered, ///< The server's answer to this request.
-    NotRun, ///< The server says that it did not run the request and will not.
-    OtherServer, ///< As NotRun; the address belongs to another server by now.
-    OtherRequest, ///< The answer to another request: it came late, or twice.
-    Unproven, ///< Says success and lacks the proof that a server made it.
+    Answered, ///< The answer of the server to this request.
+    NotRun, ///< The server reports that it did not run the request and will not run it.
+    OtherServer, ///< Like NotRun, because the address now belongs to another server.
+    OtherRequest, ///< The answer to another request, which arrived late or twice.
+    Unproven, ///< Reports success but lacks the proof that a server produced it.
 };
 
-/// What a server says about its own load.
+/// The load that a server reports about itself.
 struct ServerLoad
 {
     int running = 0;
@@ -38,25 +38,26 @@
     auto operator<=>(const ServerLoad &) const = default;
 };
 
-/// How backend servers are spoken to. Another environment is another subclass; no decision is made here.
+/// The protocol for requests to backend servers. Each environment has its own subclass, which translates messages and
+/// makes no decisions.
 class BackendProtocol
 {
 public:
     virtual ~BackendProtocol() = default;
 
-    /// Sets what only the system may set, whatever stood there.
+    /// Sets the headers that only the system may set, replacing existing values.
     virtual void prepare(net::RequestHead &head, const BackendCall &call) const = 0;
 
     virtual AnswerKind classify(const net::ResponseHead &answer, const net::RequestHead &request) const = 0;
 
-    /// Nothing where the server does not tell.
+    /// Returns no value if the server does not report its load.
     virtual std::optional<ServerLoad> reportedLoad(const net::ResponseHead &answer) const = 0;
 
-    /// Whether the answer to a probe of the health endpoint of `server` says that it is well.
+    /// Whether the answer to a probe of the health endpoint of `server` reports that the server is healthy.
     virtual bool isHealthy(const net::ResponseHead &answer, const base::BackendServerId &server) const = 0;
 };
 
-/// The interface of papayastep itself (docs/CALLERS.md).
+/// The protocol that papayastep defines itself (docs/CALLERS.md).
 class NativeBackendProtocol final : public BackendProtocol
 {
 public:
--- a/src/include/papayastep/node/candidates.h
+++ b/src/include/papayastep/node/candidates.h
@@ -7,10 +7,10 @@
 
 namespace papayastep::node {
 
-/// What this node believes about all backend servers of a service, as placement wants it.
+/// Returns this node's estimates of all backend servers of a service, as input for the placement.
 std::vector<routing::Candidate> candidatesOf(const NodeContext &context, const base::ServiceId &service);
 
-/// The median of the known latencies; 0 where none is known.
+/// Returns the median of the known latencies, or 0 if none is known.
 base::Duration medianLatency(const std::vector<routing::Candidate> &candidates);
 
 }
--- a/src/include/papayastep/node/configurationfetcher.h
+++ b/src/include/papayastep/node/configurationfetcher.h
@@ -7,8 +7,8 @@
 
 namespace papayastep::node {
 
-/// Does the platform calls that membership::ConfigSpread decides on. Two loops, one for the configuration and one
-/// for the VM list, so that a waiting watch of the one does not hold up the other.
+/// Makes the platform calls that membership::ConfigSpread decides on. The configuration and the VM list are read by two
+/// separate loops, so that a pending watch of one does not delay the other.
 class ConfigurationFetcher
 {
 public:
@@ -16,14 +16,15 @@
 
     /// Starts both loops.
     void start();
-    /// Without the VM list: that is made from the directory of backend servers.
+    /// Starts only the loop for the configuration, for nodes that derive the VM list from the directory of backend
+    /// servers.
     void startConfigurationOnly();
     void stop();
 
-    /// The decisions may have changed: look at them again.
+    /// Makes both loops check for a due call, because the decisions of ConfigSpread may have changed.
     void wake();
 
-    /// When the platform last named the VM list in force, by when it was asked.
+    /// Time of the request to which the platform last confirmed the active VM list.
     base::TimePoint vmListRequestedAt() const;
 
 private:
--- a/src/include/papayastep/node/directoryupdater.h
+++ b/src/include/papayastep/node/directoryupdater.h
@@ -11,26 +11,28 @@
 
 namespace papayastep::node {
 
-/// Keeps membership::ServerDirectory up to date: lists once, then watches, or lets the readers of a
-/// membership::DirectoryRelay tell; lists again when the platform has forgotten the changes in between.
+/// Keeps membership::ServerDirectory up to date: lists the servers once, then watches the platform or receives the
+/// updates from the readers of a membership::DirectoryRelay. It lists again if the platform no longer has the history
+/// of the changes.
 class DirectoryUpdater
 {
 public:
     DirectoryUpdater(NodeContext &context, membership::ServerDirectory &directory, net::ServerSource &source);
 
-    /// `answered` is called after each answer, with the newest published revision and whether the servers changed.
+    /// Starts the update loop. `answered` is called after each answer, with the newest published revision and whether
+    /// the servers have changed.
     void start(std::function<void(base::Revision published, bool changed)> answered);
     void stop();
 
-    /// The VMs that are there and not about to leave.
+    /// Sets the VMs that are present and not about to leave.
     void applyVms(const std::vector<base::VmId> &present);
-    /// What a reader says.
+    /// Takes a message from a reader.
     void receive(const membership::DirectoryNews &message);
-    /// Passes on what is due. Call after nextTick().
+    /// Sends the updates to peers that are due. Call it once the time of nextTick() has been reached.
     void sendUpdates();
     std::optional<base::TimePoint> nextTick() const;
 
-    /// When the platform was last asked for an answer that came.
+    /// Time of the last request that the platform has answered.
     base::TimePoint lastRequestedAt() const;
 
 private:
@@ -47,7 +49,7 @@
     membership::DirectoryRelay m_relay;
     membership::DirectorySchedule m_schedule;
     base::TimePoint m_lastRequestedAt;
-    membership::RevisionPatience m_revisionPatience; ///< With what readers tell of.
+    membership::RevisionPatience m_revisionPatience; ///< Waiting time for revisions that readers have announced.
     bool m_stopped = false;
 };
 
--- a/src/include/papayastep/node/entryhandler.h
+++ b/src/include/papayastep/node/entryhandler.h
@@ -11,7 +11,7 @@
 
 class EntryRequest;
 
-/// The entry side: takes requests of callers and is responsible for what they are told.
+/// The entry side of a node: accepts the requests of callers and is responsible for their answers.
 class EntryHandler final : public net::RequestHandler
 {
 public:
@@ -20,12 +20,13 @@
     net::Awaitable<void> handle(net::ServerExchange &exchange) override;
     net::WholeAnswer refusal(base::ResultCode code, const std::string &detail) override;
 
-    // Late decisions for open requests. Those for requests that have ended are dropped.
+    // These functions deliver asynchronous decisions to open requests. Decisions for requests that have ended are
+    // dropped; a token in such a decision is given back.
     void deliver(const limits::AdmissionDecision &decision);
     void deliver(const routing::LedgerDecision &decision);
-    /// The ledger's home has the end of this request.
+    /// Reports that the home of the idempotency key has recorded the end of this request.
     void deliver(const base::RequestId &recorded);
-    /// `proven` says what an answer of the sending process proves about an attempt that was sent at the time given.
+    /// Returns what an answer of the sending process proves about an attempt that was sent at `sentAt`.
     using CancelAnswerVerifier
         = std::function<routing::CancelAnswer(routing::CancelAnswer answer, base::TimePoint sentAt)>;
     void deliver(const wire::CancelResult &result, const CancelAnswerVerifier &proven);
--- a/src/include/papayastep/node/hophandler.h
+++ b/src/include/papayastep/node/hophandler.h
@@ -6,8 +6,8 @@
 
 namespace papayastep::node {
 
-/// Takes attempts from other nodes. Whatever does not carry a good hop header is refused before anything else is
-/// looked at, so nobody outside the fleet can step round the entry's checks.
+/// Accepts attempts from other nodes. A request without a valid hop header is refused before anything else is examined,
+/// so that no client outside the fleet can bypass the checks of the entry.
 class HopHandler final : public net::RequestHandler
 {
 public:
--- a/src/include/papayastep/node/interfaces.h
+++ b/src/include/papayastep/node/interfaces.h
@@ -11,17 +11,17 @@
 
 namespace papayastep::node {
 
-/// All that a node speaks with the world outside the fleet.
+/// The interfaces of a node to systems outside the fleet.
 struct Interfaces
 {
     std::unique_ptr<CallerProtocol> callers;
     std::unique_ptr<BackendProtocol> backends;
     std::shared_ptr<net::CallBook> platformCalls = std::make_shared<net::CallBook>();
     std::shared_ptr<net::PlatformClient> platform;
-    std::shared_ptr<net::ServerSource> servers; ///< Null: backend servers stand in the configuration.
+    std::shared_ptr<net::ServerSource> servers; ///< Null if the configuration lists the backend servers.
 };
 
-/// The interfaces of papayastep itself.
+/// Returns the interfaces that papayastep defines itself.
 Interfaces nativeInterfaces(net::asio::io_context &io, const base::Clock &clock, const NodeSettings &settings);
 
 }
--- a/src/include/papayastep/node/metricfamily.h
+++ b/src/include/papayastep/node/metricfamily.h
@@ -12,8 +12,9 @@
 
 namespace papayastep::node {
 
-/// A family of metrics with fixed label names. Finds a series by its label values without building the labels anew: a
-/// node touches some ten series for each request, and the library's own look-up makes a map of strings for each.
+/// A family of metrics with fixed label names. It finds a series by its label values without building the label map
+/// again: a node updates about ten series for each request, and the lookup of the library creates a map of strings for
+/// each of them.
 template<typename Metric>
 class MetricFamily
 {
@@ -24,7 +25,8 @@
     {
     }
 
-    /// The series with these label values, in the order of the names; made at its first use with `arguments`.
+    /// Returns the series with these label values, given in the order of the names. The series is created with
+    /// `arguments` at its first use.
     template<typename... Arguments>
     Metric &withLabels(std::initializer_list<std::string_view> values, Arguments &&...arguments)
     {
@@ -45,13 +47,13 @@
     }
 
 private:
-    /// Stands in no label value: services, codes and names of kinds have no control characters.
+    /// Occurs in no label value: services, codes and names of kinds contain no control characters.
     static constexpr char separator = '\x1f';
 
     prometheus::Family<Metric> &m_family;
     std::vector<std::string> m_names;
     std::unordered_map<std::string, Metric *> m_series;
-    std::string m_key; ///< Kept to spare an allocation for each look-up.
+    std::string m_key; ///< Reused to avoid an allocation for each lookup.
 };
 
 }
--- a/src/include/papayastep/node/metrics.h
+++ b/src/include/papayastep/node/metrics.h
@@ -18,37 +18,39 @@
 
 namespace papayastep::node {
 
-/// One request of a caller that is done.
+/// One request of a caller that has ended.
 struct EndedRequest
 {
-    base::ServiceId service; ///< Empty: refused before a route was found.
+    base::ServiceId service; ///< Empty if the request was refused before a route was found.
     bool idempotent = false;
-    std::string_view outcome; ///< One of those below, or the name of a routing::Outcome.
-    base::ResultCode code = base::ResultCode::Ok; ///< Of a refusal.
+    std::string_view outcome; ///< One of the constants below, or the name of a routing::Outcome.
+    base::ResultCode code = base::ResultCode::Ok; ///< Result code of a refusal.
     base::Duration duration{};
 
-    // Outcomes beside those of a refusal.
+    // Outcomes other than those of a refusal.
 
-    static constexpr std::string_view answeredOutcome = "answered"; ///< With a backend server's answer.
-    static constexpr std::string_view brokenOffOutcome = "broken-off"; ///< With a part of such an answer.
-    static constexpr std::string_view givenUpOutcome = "given-up"; ///< The caller went away first.
+    static constexpr std::string_view answeredOutcome
+        = "answered"; ///< The caller received the answer of a backend server.
+    static constexpr std::string_view brokenOffOutcome
+        = "broken-off"; ///< The caller received only a part of such an answer.
+    static constexpr std::string_view givenUpOutcome = "given-up"; ///< The caller disconnected before it was answered.
 
     auto operator<=>(const EndedRequest &) const = default;
 };
 
-/// One attempt that a backend server of this VM worked on.
+/// One attempt that a backend server of this VM has processed.
 struct ServedAttempt
 {
     base::ServiceId service;
     std::string_view outcome; ///< Name of a health::AttemptOutcome.
-    base::Duration slotHeldTime{}; ///< How long it held a slot of the server.
+    base::Duration slotHeldTime{}; ///< Time for which the attempt occupied a slot of the server.
 
     auto operator<=>(const ServedAttempt &) const = default;
 };
 
-/// What a node counts for Prometheus. The label sets are bounded: services, codes and kinds, never workspaces, keys or
-/// requests. Routes are counted by their service and by whether they may be repeated: 32,000 routes with some ten codes
-/// each would take more memory than a node has.
+/// The metrics of a node for Prometheus. The label sets are bounded: services, codes and kinds, never workspaces, keys
+/// or requests. Routes are counted by their service and by whether they are idempotent: 32,000 routes with about ten
+/// codes each would need more memory than a node has.
 class NodeMetrics
 {
 public:
@@ -56,45 +58,45 @@
 
     NodeMetrics();
 
-    // The entry.
+    // Metrics of the entry.
 
     void countRequest(const EndedRequest &request);
-    /// What was heard of an attempt.
+    /// Counts an event of an attempt, as reported to the entry.
     void countAttempt(const base::ServiceId &service, std::string_view event);
-    /// What was done about it.
+    /// Counts the action of the retry policy after an attempt.
     void countRetryDecision(const base::ServiceId &service, std::string_view action);
     void countPlacement(const base::ServiceId &service, std::string_view reason);
 
-    // The serving node.
+    // Metrics of the serving side.
 
     void observeQueueWait(const base::ServiceId &service, base::Duration wait);
     void countServed(const ServedAttempt &attempt);
-    /// An attempt refused before it ran.
+    /// Counts an attempt that was refused before it ran.
     void countRefusedAttempt(base::ResultCode code);
     void countCancel(std::string_view answer);
-    /// A backend server is held back, or answers again after that.
+    /// Counts that a backend server is held back, or that it answers again after a hold.
     void countHold(const base::ServiceId &service, std::string_view evidence);
     void countReturn(const base::ServiceId &service);
 
-    // The whole node.
+    // Metrics of the whole node.
 
     void countHealthEvent(std::string_view event);
-    /// `result`: `taken` or `kept`.
+    /// Counts a reload of the settings; `result` is `taken` or `kept`.
     void countReload(std::string_view result);
 
-    // What other parts keep, read just before each scrape.
+    // Values that other components maintain, copied just before each scrape.
 
     void setGauge(const std::string &name, double value, const Labels &labels = {});
-    /// A running total since the start; its name gets the ending `_total`.
+    /// Sets a running total since the start; `_total` is appended to its name.
     void setTotal(const std::string &name, double value, const Labels &labels = {});
-    /// Drops the series of a gauge, so that those of services that are gone do not stay.
+    /// Removes all series of a gauge, so that no series remain for services that no longer exist.
     void clearGauge(const std::string &name);
 
-    /// `service` as a label: the service itself, or `other` for those that came when there were many already, or
-    /// `none`.
+    /// Returns the label value for `service`: its own name, `other` once the maximum number of service labels is in
+    /// use, or `none` if it is empty.
     const std::string &serviceLabel(const base::ServiceId &service);
 
-    /// The text format of Prometheus.
+    /// Returns all metrics in the text format of Prometheus.
     std::string text() const;
 
 private:
@@ -102,7 +104,7 @@
     prometheus::Family<prometheus::Histogram> &histograms(const std::string &name, const std::string &help);
 
     std::shared_ptr<prometheus::Registry> m_registry;
-    std::unordered_set<std::string> m_services; ///< With a label of their own.
+    std::unordered_set<std::string> m_services; ///< Services that have a label of their own.
     MetricFamily<prometheus::Counter> m_requests;
     MetricFamily<prometheus::Histogram> m_requestSeconds;
     MetricFamily<prometheus::Counter> m_attempts;
--- a/src/include/papayastep/node/node.h
+++ b/src/include/papayastep/node/node.h
@@ -20,15 +20,16 @@
 
 namespace papayastep::node {
 
-/// The life of a node, as src/node/node.json draws it.
+/// The states of a node; src/node/node.json defines the state chart.
 enum class NodeState { Starting, Serving, Draining, Stopped };
 enum class NodeEvent { Configured, StopRequested, Drained, DrainTimedOut };
 
-/// A whole node: joins the deciding packages with sockets and timers. One thread.
+/// A whole node: connects the packages that make the decisions with sockets and timers. It runs in one thread, except
+/// for the building of configurations.
 class Node
 {
 public:
-    /// Listens at once. Throws Error (2004, 7001).
+    /// Starts to listen immediately. Throws Error (2004, 7001).
     Node(net::asio::io_context &io,
          const base::Clock &clock,
          SettingsReloader settingsReloader,
@@ -38,12 +39,12 @@
          std::uint64_t seed);
     ~Node();
 
-    /// Begins a planned stop: announces it, refuses new requests, finishes those in flight, hands over, then stops
-    /// the context.
+    /// Begins a planned stop: announces it, refuses new requests, finishes the requests in flight, hands over, then
+    /// stops the I/O context.
     void requestStop();
 
-    /// Takes over the settings file if it has changed, as far as a running process can, and logs that it was asked to.
-    /// A changed file is also found without being asked, within seconds.
+    /// Logs the request and, if the settings file has changed, applies the settings that a running process can change.
+    /// A changed file is also detected without a request, within seconds.
     void requestReload();
 
 private:
@@ -90,10 +91,10 @@
     membership::VmDirectory m_vmDirectory;
     routing::ProcessTable m_processes;
     membership::ConfigSpread m_spread;
-    membership::ServerDirectory m_serverDirectory; ///< Empty without a source of servers.
+    membership::ServerDirectory m_serverDirectory; ///< Empty if there is no source of servers.
     membership::VmRoster m_roster;
     ConfigurationFetcher m_configurationFetcher;
-    std::unique_ptr<DirectoryUpdater> m_directoryUpdater; ///< Null: backend servers stand in the configuration.
+    std::unique_ptr<DirectoryUpdater> m_directoryUpdater; ///< Null if the configuration lists the backend servers.
     ServingNode m_servingNode;
     Prober m_prober;
     EntryHandler m_entryHandler;
@@ -104,17 +105,18 @@
     net::HttpServer m_callerServer;
     net::HttpServer m_hopServer;
     net::HttpServer m_adminServer;
-    std::unique_ptr<net::HttpServer> m_readyServer; ///< Null: asked at the admin endpoint only.
-    config::ConfigurationPtr m_published; ///< The revision in force without the servers of the directory.
+    std::unique_ptr<net::HttpServer> m_readyServer; ///< Null if readiness is reported at the admin endpoint only.
+    config::ConfigurationPtr m_published; ///< The active revision without the servers of the directory.
     net::Signal m_tickSignal;
     base::TimePoint m_scheduledTick;
     base::TimePoint m_nextSweep;
-    base::TimePoint m_readyDeadline; ///< Even without its shares: a dead VM that is still listed can keep them from it.
+    base::TimePoint m_readyDeadline; ///< Time from which the node reports ready even without its shares, which a failed
+                                     ///< VM that is still listed can withhold.
     base::StateMachine<NodeState, NodeEvent> m_stateMachine;
-    /// Parses and checks new revisions: at the planned size that takes more than a second, in which the node's own
-    /// thread would answer nobody.
+    /// Parses and checks new revisions in a thread of its own. At the planned size this takes more than a second,
+    /// during which the main thread could not answer any request.
     net::asio::thread_pool m_builder{1};
-    std::shared_ptr<const routing::RouteTable> m_builtRoutes; ///< Of the newest build.
+    std::shared_ptr<const routing::RouteTable> m_builtRoutes; ///< Route table of the newest build.
     bool m_pumpScheduled = false;
     bool m_stopped = false;
 };
--- a/src/include/papayastep/node/nodecontext.h
+++ b/src/include/papayastep/node/nodecontext.h
@@ -24,14 +24,14 @@
 
 namespace papayastep::node {
 
-/// The configuration in force and what is derived from it once per revision.
+/// The active configuration and the data that is derived from it once per revision.
 struct ActiveConfiguration
 {
     config::ConfigurationPtr configuration;
     std::shared_ptr<const routing::RouteTable> routes;
 };
 
-/// What the parts of a node share. One thread uses all of it, so nothing here is locked.
+/// The state that the components of a node share. Only one thread uses it, so nothing here is locked.
 struct NodeContext
 {
     NodeContext(net::asio::io_context &ioContext,
@@ -53,7 +53,7 @@
     net::HttpPool hopPool;
     net::HttpPool backendPool;
     const std::unique_ptr<limits::RateLimiter> rateLimiter;
-    limits::RateLimiter &tokens; ///< The same, for short.
+    limits::RateLimiter &tokens; ///< The rate limiter under a short name.
     health::HealthMonitor health;
     health::GrayBook gray;
     routing::SilenceBook silence;
@@ -67,14 +67,15 @@
     RefusalLog refusalLog;
     ActiveConfiguration active; ///< Null pointers until the first configuration.
     config::VmList vms;
-    bool stopping = false; ///< A planned stop has begun; new requests are still taken for a while.
+    bool stopping = false; ///< A planned stop has begun; new requests are still accepted until draining begins.
     bool draining = false; ///< New requests are refused.
 
-    /// Called after anything that may have left decisions or messages in the parts above.
+    /// Schedules the message pump, which takes decisions and messages out of the components above. To be called after
+    /// every operation that may have produced some.
     std::function<void()> schedulePump;
-    /// Whether a VM is about to stop, by the list or its own word.
+    /// Whether a VM is about to stop, according to the VM list or to its own announcement.
     std::function<bool(const base::VmId &)> isLeaving;
-    /// Sends one message to a VM at once.
+    /// Sends one message to a VM immediately.
     std::function<void(wire::Outgoing)> send;
 
     base::RequestId newRequestId();
--- a/src/include/papayastep/node/peermessenger.h
+++ b/src/include/papayastep/node/peermessenger.h
@@ -10,24 +10,25 @@
 
 namespace papayastep::node {
 
-/// Messages between nodes: seals what goes out, opens what comes in, and drops what is forged, repeated or ours.
+/// Exchanges messages with other nodes: seals outgoing messages, opens incoming messages, and drops messages that are
+/// forged, replayed or addressed to this node itself.
 class PeerMessenger
 {
 public:
-    /// Called with each good message.
+    /// Called with each valid message.
     using Receiver = std::function<void(const wire::Envelope &envelope)>;
 
     PeerMessenger(NodeContext &context, Receiver receiver);
 
-    /// Drops the message where the VM is not listed.
+    /// Sends a message. Drops it if the endpoint of the VM is unknown.
     void send(const wire::Outgoing &message);
     void sweep();
 
-    /// What was sent of one kind of message.
+    /// Totals of the messages of one kind that were sent.
     struct SentTotals
     {
         std::uint64_t messages = 0;
-        std::uint64_t bytes = 0; ///< Sealed, without the framing's and TCP's own.
+        std::uint64_t bytes = 0; ///< Size of the sealed messages, without framing and TCP overhead.
     };
     const std::map<wire::MessageKind, SentTotals> &sentByKind() const;
     const net::PeerEndpoint::Counters &counters() const;
@@ -45,8 +46,8 @@
     wire::EnvelopeCodec m_codec;
     wire::ReplayWindow m_replayWindow;
     net::PeerEndpoint m_endpoint;
-    std::map<base::VmId, wire::CapabilityBits> m_capabilities; ///< What each peer said it can do.
-    /// Of senders that our VM list does not name; only while it names nobody.
+    std::map<base::VmId, wire::CapabilityBits> m_capabilities; ///< Capabilities that each peer has announced.
+    /// Endpoints of senders that are not in the VM list; used only while the VM list is empty.
     std::map<base::VmId, net::Endpoint> m_learnedEndpoints;
     std::uint64_t m_sequence = 0;
     std::map<wire::MessageKind, SentTotals> m_sentByKind;
--- a/src/include/papayastep/node/prober.h
+++ b/src/include/papayastep/node/prober.h
@@ -4,8 +4,8 @@
 
 namespace papayastep::node {
 
-/// Asks the health endpoints of this VM's backend servers where no traffic tells. What they say is only a hint: they
-/// lag and mislead, and a probe costs a slot for some 25 ms.
+/// Probes the health endpoints of this VM's backend servers when there is not enough traffic to assess them. The result
+/// is only a hint: health endpoints lag behind and can be wrong, and a probe occupies a slot for about 25 ms.
 class Prober
 {
 public:
--- a/src/include/papayastep/node/refusallog.h
+++ b/src/include/papayastep/node/refusallog.h
@@ -12,35 +12,38 @@
 
 struct RefusalLogSettings
 {
-    /// Refusals of one code that get a line of their own in each period. Enough to see who is concerned; an overload
-    /// refuses hundreds a second, and their lines would cost more than the refusals.
+    /// Maximum number of refusals per result code that are logged on a line of their own in each period. This is enough
+    /// to see which callers are affected; an overload causes hundreds of refusals per second, and logging each of them
+    /// would cost more than the refusals themselves.
     int linesPerPeriod = 10;
     base::Duration period = std::chrono::seconds(1);
-    /// Requests that the summary of the others names. Forty ids of 16 characters make a line of some 700 bytes.
+    /// Maximum number of request ids in the summary of the other refusals. Forty ids of 16 characters result in a line
+    /// of about 700 bytes.
     std::size_t maxListedIds = 40;
 };
 
-/// The refusals of one code that got no line of their own.
+/// The refusals of one result code that were not logged on lines of their own.
 struct RefusalSummary
 {
     base::ResultCode code = base::ResultCode::Ok;
     std::uint64_t count = 0;
-    std::string requests; ///< The first ids, separated by commas.
+    std::string requests; ///< The first request ids, separated by commas.
 
     auto operator<=>(const RefusalSummary &) const = default;
 };
 
-/// Says which refusals are logged one by one and which in a summary each period, so that the volume of the log is
-/// bounded by the number of result codes, not by the load.
+/// Decides which refusals are logged individually and which in one summary per period, so that the volume of the log is
+/// bounded by the number of result codes and not by the load.
 class RefusalLog
 {
 public:
     explicit RefusalLog(const base::Clock &clock, const RefusalLogSettings &settings = {});
 
-    /// Whether the refusal of `request` gets a line of its own; otherwise it goes into the next summary.
+    /// Records the refusal of `request`. Returns true if it must be logged on a line of its own; otherwise it is
+    /// included in the next summary.
     bool record(base::ResultCode code, const std::string &request);
 
-    /// Summaries of periods that have ended. Call about once a period.
+    /// Returns and removes the summaries of periods that have ended. To be called about once per period.
     std::vector<RefusalSummary> takeSummaries();
 
 private:
--- a/src/include/papayastep/node/refusals.h
+++ b/src/include/papayastep/node/refusals.h
@@ -5,19 +5,19 @@
 
 #include <string>
 
-/// Answers that the system makes itself (docs/CALLERS.md).
+/// Answers that the system generates itself (docs/CALLERS.md).
 namespace papayastep::node {
 
-/// HTTP status for a result code.
+/// Returns the HTTP status for a result code.
 net::http::status httpStatus(base::ResultCode code);
 
-/// A refusal as an HTTP answer: headers Papayastep-Outcome, -Code, -Retry, Retry-After, and the same as JSON.
-/// `requestId` may be empty where the request has none yet.
+/// Returns a refusal as an HTTP answer with the headers Papayastep-Outcome, -Code, -Retry and Retry-After and the same
+/// data as JSON. `requestId` may be empty if the request has no id yet.
 net::WholeAnswer refusalAnswer(const routing::Refusal &refusal,
                                const std::string &requestId,
                                const std::string &detail = {});
 
-/// A refusal of something that certainly did not run, with the retry class that fits its code.
+/// Returns a refusal of a request that certainly did not run, with the retry class for its result code.
 routing::Refusal notRunRefusal(base::ResultCode code, base::Duration retryAfter = {});
 
 }
--- a/src/include/papayastep/node/servedanswer.h
+++ b/src/include/papayastep/node/servedanswer.h
@@ -8,26 +8,26 @@
 
 namespace papayastep::node {
 
-/// The part of an answer's body that was not held. Destroying it before the end breaks the answer off.
+/// The part of an answer's body that has not been buffered. Destroying it before its end aborts the transfer.
 class AnswerBody
 {
 public:
     virtual ~AnswerBody() = default;
 
-    /// The next part; empty at the end or when it broke off.
+    /// Returns the next part. It is empty at the end or after the transfer was aborted.
     virtual net::Awaitable<std::string> readPart() = 0;
 
-    /// Whether the end was reached in order.
+    /// Whether the body was received completely.
     virtual bool complete() const = 0;
 };
 
-/// What an attempt brought, the same for a server of this VM and for one behind a hop.
+/// The result of an attempt, in the same form for a server of this VM and for a server behind a hop.
 struct ServedAnswer
 {
     wire::HopReply reply;
-    net::ResponseHead head; ///< Of the backend server, where reply.outcome is Answered.
+    net::ResponseHead head; ///< Head of the backend server's answer, if reply.outcome is Answered.
     std::string body;
-    std::unique_ptr<AnswerBody> remainingBody; ///< Null: `body` is all.
+    std::unique_ptr<AnswerBody> remainingBody; ///< Null if `body` is complete.
 
     wire::HopOutcome outcome() const
     {
@@ -35,9 +35,10 @@
     }
 };
 
-/// How much of an answer is held before its first byte goes to the caller, so that a cut one can still be retried.
+/// Number of bytes of an answer that are buffered before the first byte is sent to the caller, so that a truncated
+/// answer can still be retried.
 constexpr std::size_t answerBufferBytes = 256 * 1024;
-/// The same for routes that stream.
+/// Number of bytes that are buffered for routes that stream.
 constexpr std::size_t streamAnswerBufferBytes = 16 * 1024;
 
 }
--- a/src/include/papayastep/node/servingnode.h
+++ b/src/include/papayastep/node/servingnode.h
@@ -17,13 +17,13 @@
 
 namespace papayastep::node {
 
-/// Slots of the backend servers of this VM, for one service.
+/// Usage of the slots of this VM's backend servers for one service.
 struct SlotUse
 {
     int slots = 0;
     std::size_t running = 0;
     std::size_t queued = 0;
-    std::size_t heldBackServers = 0; ///< Servers taken for gray.
+    std::size_t heldBackServers = 0; ///< Number of servers that are held back as gray.
 
     SlotUse &operator+=(const SlotUse &other)
     {
@@ -37,38 +37,40 @@
     auto operator<=>(const SlotUse &) const = default;
 };
 
-/// The serving side: takes attempts for the backend servers of this VM, queues them fairly, runs them, and can say
-/// of each whether it was started. It says `not-run` only of an attempt that it will never start.
+/// The serving side of a node: accepts attempts for the backend servers of this VM, queues them fairly, runs them, and
+/// can report for each whether it was started. It reports `not-run` only for an attempt that it will never start.
 class ServingNode
 {
 public:
     explicit ServingNode(NodeContext &context);
     ~ServingNode();
 
-    /// Runs one attempt. `request` holds the caller's end-to-end headers without any key. `suspect` is called at most
-    /// once, when the attempt seems to hang.
-    net::Awaitable<ServedAnswer> serve(wire::HopRequest hop, net::ClientRequest request, std::function<void()> suspect);
+    /// Runs one attempt. `request` contains the end-to-end headers of the caller without any key. `onHangSuspected` is
+    /// called at most once, when the attempt seems to hang.
+    net::Awaitable<ServedAnswer> serve(wire::HopRequest hop,
+                                       net::ClientRequest request,
+                                       std::function<void()> onHangSuspected);
 
-    /// What would become of a request at a backend server of this VM now. Promises nothing.
+    /// Returns an estimate of how a request would be handled by a backend server of this VM now. It reserves no slot.
     wire::SlotOffer offerFor(const wire::SlotAsk &ask);
 
-    /// The entry asks to cancel; the attempt may not have come yet.
+    /// Handles the cancel request of an entry. The attempt may not have arrived yet.
     routing::CancelAnswer cancel(const wire::CancelAttempt &cancel, const routing::SentStamp &stamp);
 
-    /// The entry that waits for this attempt is gone, so an idempotent one need not go on.
+    /// Reports that the entry no longer waits for this attempt, so that an idempotent attempt can be stopped.
     void entryDisconnected(const base::RequestId &request, int attempt);
 
-    /// Runs at the backend servers of this VM, which may make calls.
+    /// The attempts that run at the backend servers of this VM and may make calls to other services.
     health::RunCalls &runCalls();
 
     void applyConfiguration();
 
-    /// Starts and drops queued attempts that are due.
+    /// Starts queued attempts whose turn it is and drops those whose time has run out.
     void poll();
     void tick();
     std::optional<base::TimePoint> nextTick();
 
-    /// Attempts queued or running.
+    /// Number of attempts that are queued or running.
     std::size_t inFlight() const;
     std::size_t queued() const;
     std::map<base::ServiceId, SlotUse> slotUse() const;
--- a/src/include/papayastep/node/settings.h
+++ b/src/include/papayastep/node/settings.h
@@ -12,18 +12,19 @@
 
 namespace papayastep::node {
 
-/// How servers are chosen. Random is the baseline of the measures.
+/// Policy by which servers are chosen. Random is the baseline of the benchmarks.
 enum class PlacementChoice { TwoChoices, LeastCost, Random };
 
-/// What a node speaks with callers, backend servers and the platform: papayastep's own interfaces, or those of the
-/// operators' platform (folder platform/).
+/// Interfaces that a node uses to callers, backend servers and the platform: those that papayastep defines itself, or
+/// those of the operators' platform (folder platform/).
 enum class InterfaceChoice { Native, Platform };
 
-/// What a node does with a request when it can't know whether its workspace is inside its rate: refuse, so that no
-/// workspace ever gets more, or serve within an excess that the operators tolerate.
+/// Handling of a request if the node can't determine whether its workspace is within its rate limit: Strict refuses it,
+/// so that no workspace ever exceeds its rate; Pooled serves it within an excess that the operators tolerate.
 enum class RateLimitChoice { Strict, Pooled };
 
-/// What a node is told at its start: a JSON file, checked against a schema, and a few command line options over it.
+/// The settings of a node, read at its start from a JSON file, which is checked against a schema, and from a few
+/// command line options, which take precedence over the file.
 struct NodeSettings
 {
     base::VmId vm;
@@ -32,38 +33,44 @@
     net::Endpoint hop; ///< HTTP between nodes.
     net::Endpoint peer; ///< Messages between nodes.
     net::Endpoint admin; ///< HTTP for operators.
-    std::optional<net::Endpoint> ready; ///< A listener of its own for the question whether the node is ready.
-    std::string readyPath = "/readyz"; ///< Where that question is asked.
+    std::optional<net::Endpoint> ready; ///< Separate endpoint for readiness checks; none if not set.
+    std::string readyPath = "/readyz"; ///< HTTP path of readiness checks.
     std::vector<net::Endpoint> platform;
-    base::ServiceId service; ///< Of the backend servers on this VM, which tells who calls; empty: not told.
+    base::ServiceId
+        service; ///< Service of the backend servers on this VM, sent as the calling service; empty: not sent.
     InterfaceChoice interfaces = InterfaceChoice::Native;
     RateLimitChoice rateLimits = RateLimitChoice::Strict;
-    std::optional<routing::FleetRetryLimit> retryLimit; ///< Absent: a fifth of each node's own requests.
-    std::string secret; ///< Of the fleet. Never logged.
+    std::optional<routing::FleetRetryLimit>
+        retryLimit; ///< If not set, retries are limited to a fifth of each node's own requests.
+    std::string secret; ///< Shared secret of the fleet. It is never logged.
     PlacementChoice placement = PlacementChoice::TwoChoices;
-    /// The longest that an ejected server gets no work before it is tried again; absent: minutes, after several
-    /// ejections.
+    /// Longest time for which an ejected server receives no requests before it is tried again. If not set, it can be
+    /// minutes after several ejections.
     std::optional<base::Duration> longestHold;
-    /// Whether gray servers are held back by health::FailureFilter alone. Its holds end after a second or two; the
-    /// slower test's ejections and trials beside it left well servers without work for ten seconds at a time.
+    /// Whether gray servers are held back by health::FailureFilter alone. Its holds end after one or two seconds. The
+    /// ejections and trials of the slower health::HealthMonitor would leave healthy servers without requests for ten
+    /// seconds at a time.
     bool usesOnlyFailureFilter() const
     {
         return placement == PlacementChoice::LeastCost;
     }
 
-    bool asksForFreeSlots = false; ///< Whether a request asks some servers for a free slot before it queues at one.
-    bool ejection = true; ///< False: the baseline without ejection.
-    bool noEarlierRuns = false; ///< The fleet's first start: no idempotency key can have been used before.
+    bool asksForFreeSlots
+        = false; ///< Whether an entry asks several servers for a free slot before it queues a request at one.
+    bool ejection = true; ///< False disables ejection, as a baseline for comparison.
+    bool noEarlierRuns
+        = false; ///< True at the first start of the fleet, when no idempotency key can have been used before.
     net::ServerLimits limits;
     base::Duration acknowledgeAfter
-        = std::chrono::milliseconds(10); ///< A hop answered sooner needs no acknowledgement.
-    base::Duration drainTimeout = std::chrono::seconds(30); ///< A planned stop waits no longer for requests in flight.
-    /// At a planned stop: how long new requests are still taken. Until then callers and siblings hear of it and turn
-    /// away, so that few requests meet a closed door.
+        = std::chrono::milliseconds(10); ///< A hop that is answered sooner is not acknowledged.
+    base::Duration drainTimeout
+        = std::chrono::seconds(30); ///< Longest time that a planned stop waits for requests in flight.
+    /// Time for which new requests are still accepted after a planned stop has been announced. Callers and other nodes
+    /// switch to other nodes meanwhile, so that few requests are refused.
     base::Duration announceFirst = std::chrono::milliseconds(500);
 };
 
-/// What stands on the command line beside the file; empty: not given.
+/// Command line options that override the settings file. An empty value is not set.
 struct SettingsOverrides
 {
     std::string vm;
@@ -76,16 +83,17 @@
     std::string secretFile;
 };
 
-/// Environment variable with the fleet secret, where no secretFile is named.
+/// Environment variable that contains the fleet secret if the settings name no secretFile.
 constexpr const char *secretEnvironmentVariable = "PAPAYASTEP_SECRET";
 
-/// The text of a settings file. Throws Error(SettingsUnreadable).
+/// Returns the text of a settings file. Throws Error(SettingsUnreadable).
 std::string readSettingsText(const std::string &path);
 
-/// Reads, merges and checks. Throws Error (2xxx) naming the file and the JSON pointer.
+/// Reads a settings file, applies the overrides and checks the result. Throws Error (2xxx) with the file and the JSON
+/// pointer.
 NodeSettings readSettings(const std::string &path, const SettingsOverrides &overrides);
 
-/// Parses the text of a settings file without its secret. Throws Error (2xxx).
+/// Parses the text of a settings file without reading the secret. Throws Error (2xxx).
 NodeSettings parseSettings(std::string_view json, const std::string &file, const SettingsOverrides &overrides);
 
 }
--- a/src/include/papayastep/node/settingsreloader.h
+++ b/src/include/papayastep/node/settingsreloader.h
@@ -7,17 +7,18 @@
 
 namespace papayastep::node {
 
-/// Reads the settings file again when it may have changed. A file that is unreadable or wrong changes nothing: a node
-/// that ended over a slip in a file would take its backend server with it.
+/// Reads the settings file again when it may have changed. A file that is unreadable or invalid changes nothing: if a
+/// mistake in the file ended the node, its backend server would become unreachable too.
 class SettingsReloader
 {
 public:
     SettingsReloader(std::string path, SettingsOverrides overrides);
 
-    /// The settings at the start. Throws Error (2xxx).
+    /// Reads the settings at the start. Throws Error (2xxx).
     NodeSettings load();
 
-    /// The settings if the file's text has changed since it was last read. Throws Error (2xxx), once for each text.
+    /// Returns the settings if the text of the file has changed since it was last read. Throws Error (2xxx), once for
+    /// each text.
     std::optional<NodeSettings> reloadIfChanged();
 
 private:
@@ -26,10 +27,11 @@
     std::string m_text;
 };
 
-/// Names of the members that differ and can't change in a running process, such as addresses; empty: none.
+/// Returns the names of the settings that differ and can't be changed in a running process, such as addresses,
+/// separated by commas.
 std::string settingsNeedingRestart(const NodeSettings &running, const NodeSettings &fresh);
 
-/// `running` with all of `fresh` that a running process can take over.
+/// Returns `running` with the settings of `fresh` that a running process can change.
 NodeSettings withReloadableSettings(const NodeSettings &running, const NodeSettings &fresh);
 
 }
--- a/src/include/papayastep/node/streamedanswer.h
+++ b/src/include/papayastep/node/streamedanswer.h
@@ -5,8 +5,8 @@
 
 namespace papayastep::node {
 
-/// Passes a large answer on as it comes, with the client's backpressure. Returns whether the client got all of it; if
-/// not, its message is broken, never ended cleanly.
+/// Forwards a large answer as it arrives, applying the backpressure of the client. Returns whether the client received
+/// all of it; if not, the client's message is aborted and never ended cleanly.
 net::Awaitable<bool> forwardStream(net::ServerExchange &exchange, ServedAnswer &answer, net::ResponseHead head);
 
 }
--- a/src/node/attempt.cpp
+++ b/src/node/attempt.cpp
@@ -23,7 +23,8 @@
     return cancel;
 }
 
-/// A server that sheds load is busy, not sick: counted as a failure, it would be ejected just when all are needed.
+/// Maps an HTTP status to the outcome of a hop. A server that sheds load is overloaded, not faulty: if this were
+/// counted as a failure, the server would be ejected just when all servers are needed.
 health::HopOutcome hopOutcomeOfStatus(unsigned status)
 {
     constexpr unsigned tooManyRequests = 429;
@@ -34,7 +35,7 @@
     return status >= 500 ? health::HopOutcome::ServerFailed : health::HopOutcome::Answered;
 }
 
-/// The rest of an answer that is still on its way over the hop.
+/// The remaining body of an answer that is still being received over the hop.
 class HopBody final : public AnswerBody
 {
 public:
@@ -151,13 +152,13 @@
     m_onChange = std::move(changed);
     auto self = std::static_pointer_cast<LocalAttempt>(shared_from_this());
     auto run = [self, request = std::move(request)]() mutable -> net::Awaitable<void> {
-        auto suspect = [weak = std::weak_ptr<LocalAttempt>(self)] {
+        auto onHangSuspected = [weak = std::weak_ptr<LocalAttempt>(self)] {
             if (const auto attempt = weak.lock()) {
                 attempt->m_reportedHanging = true;
                 attempt->notifyChanged();
             }
         };
-        self->m_answer = co_await self->m_serving.serve(self->m_hop, std::move(request), std::move(suspect));
+        self->m_answer = co_await self->m_serving.serve(self->m_hop, std::move(request), std::move(onHangSuspected));
         self->m_finished = true;
         self->notifyChanged();
     };
@@ -246,16 +247,16 @@
     try {
         m_answer.reply = m_context.hopCodec.openReply(net::view(m_exchange->head()[wire::hopReplyHeader]));
     } catch (const base::Error &error) {
-        PAPAYASTEP_LOG(WARNING, logPrefix)
-            << "Refused an answer of a hop." << base::field("vm", m_vm) << base::field("code", number(error.code()));
+        PAPAYASTEP_LOG(WARNING, logPrefix) << "Rejected an invalid answer over a hop." << base::field("vm", m_vm)
+                                           << base::field("code", number(error.code()));
         m_hopFailed = true;
         reportHopEnd(health::HopOutcome::ServerFailed);
         return;
     }
-    // The answer to another request on this connection, late or crossed, would carry another id.
+    // An answer to another request on this connection, late or out of order, would have another id.
     const bool own = m_answer.reply.requestId() == m_hop.requestId() && m_answer.reply.attempt == m_hop.attempt;
     if (!own) {
-        PAPAYASTEP_LOG(ERROR, logPrefix) << "Got the answer to another request." << base::field("vm", m_vm);
+        PAPAYASTEP_LOG(ERROR, logPrefix) << "Received the answer to another request." << base::field("vm", m_vm);
         m_hopFailed = true;
         reportHopEnd(health::HopOutcome::ServerFailed);
         return;
@@ -269,7 +270,7 @@
     try {
         m_context.health.absorbReport(m_vm, wire::decode<health::ServerReport>(m_answer.reply.report));
     } catch (const base::Error &) {
-        VLOG(1) << logPrefix << ": Ignored a malformed report." << base::field("vm", m_vm);
+        VLOG(1) << logPrefix << ": Ignored a malformed server report." << base::field("vm", m_vm);
     }
     switch (m_answer.outcome()) {
     case wire::HopOutcome::Answered:
--- a/src/node/attemptmonitor.cpp
+++ b/src/node/attemptmonitor.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// A lost cancel costs the caller at most this long; five fit into the time that is given to a cancel (500 ms).
+/// Interval at which an unanswered cancel request is sent again. A lost request delays the caller by at most this time;
+/// ten fit into the timeout for cancels (500 ms).
 constexpr base::Duration cancelResendEvery = std::chrono::milliseconds(50);
 
 using base::ResultCode;
@@ -39,7 +40,8 @@
 net::Awaitable<routing::AttemptResult> AttemptMonitor::next(const base::TimePoint &deadline, const bool &callerGone)
 {
     for (;;) {
-        // Taken once: an attempt that ended without proof goes on to a cancel, and stays ended while that is asked for.
+        // The result is reported only once: after an attempt has ended without proof, a cancel request may follow,
+        // during which the attempt stays finished.
         if (m_attempt->finished() && !m_resultTaken) {
             m_resultTaken = true;
             co_return attemptResult();
@@ -137,7 +139,7 @@
         return routing::AttemptResult{AttemptEvent::CancelNeverStarted, ResultCode::HopCancelled, {}};
     case routing::CancelAnswer::Started:
     case routing::CancelAnswer::Done:
-        // It has run or is running. Its answer is awaited, but over a broken hop none will ever come.
+        // The attempt has run or is running. Its answer is still awaited unless the hop has failed.
         if (m_attempt->finished()) {
             return routing::AttemptResult{AttemptEvent::Partial, ResultCode::AnswerIncomplete, {}};
         }
--- a/src/node/attemptmonitor.h
+++ b/src/node/attemptmonitor.h
@@ -9,39 +9,39 @@
 
 namespace papayastep::node {
 
-/// Follows one attempt after the other for an entry: what was heard of it, what is overdue, whether a cancel is open.
-/// Tells each such event once; what follows from it is the retry policy's to decide.
+/// Monitors the attempts of a request at its entry, one after the other: their results, their timeouts and their
+/// pending cancel requests. It reports each event once; the retry policy decides what to do about it.
 class AttemptMonitor
 {
 public:
-    /// `changed` is notified by whoever has news for the request.
+    /// `changed` is notified whenever the state of the request may have changed.
     AttemptMonitor(NodeContext &context, net::Signal &changed);
     ~AttemptMonitor();
 
     AttemptMonitor(const AttemptMonitor &) = delete;
     AttemptMonitor &operator=(const AttemptMonitor &) = delete;
 
-    /// Begins with `attempt`; the one before is abandoned.
+    /// Starts `attempt` and monitors it; the previous attempt is abandoned.
     void begin(AttemptPtr attempt, const routing::AttemptTimeouts &timeouts, net::ClientRequest request);
 
-    /// Waits for the next event. `deadline` may be moved meanwhile. The caller of the request has gone when
-    /// `callerGone` says so.
+    /// Waits for the next event. `deadline` and `callerGone` are read again at each change; `callerGone` is true once
+    /// the caller of the request has disconnected.
     net::Awaitable<routing::AttemptResult> next(const base::TimePoint &deadline, const bool &callerGone);
 
-    /// Asks the serving node to cancel, until it answers or the timeout for cancels has passed. With `stop`, also to
-    /// stop the attempt if it runs.
+    /// Sends cancel requests to the serving node until it answers or the timeout for cancels has passed. With `stop`,
+    /// the serving node also stops the attempt if it is running.
     void beginCancel(bool stop);
 
-    /// No more interest in the attempt: its connection is closed, so that its serving node hears of it.
+    /// Abandons the attempt and closes its connection, which notifies the serving node.
     void abandon();
 
-    /// Ends the watch and hands the attempt over.
+    /// Ends the monitoring and returns the attempt.
     AttemptPtr release();
 
     /// Null before the first attempt.
     Attempt *attempt() const;
 
-    /// The sibling that the last refusal named as better placed; may be empty.
+    /// The backend server that the last refusal suggested instead; may be empty.
     const base::BackendServerId &advice() const;
 
 private:
@@ -59,8 +59,9 @@
     base::BackendServerId m_advice;
     base::TimePoint m_cancelSince;
     base::TimePoint m_cancelSentAt;
-    std::set<routing::AttemptEvent> m_reported; ///< Timeouts of this attempt that were told already.
-    bool m_resultTaken = false; ///< The end of the attempt was told; what is awaited now is word of a cancel.
+    std::set<routing::AttemptEvent> m_reported; ///< Timeouts of this attempt that have been reported.
+    bool m_resultTaken
+        = false; ///< The end of the attempt has been reported; only the answer to a cancel request is pending.
     bool m_cancelling = false;
     bool m_cancelStopsAttempt = false;
 };
--- a/src/node/collectmetrics.cpp
+++ b/src/node/collectmetrics.cpp
@@ -1,4 +1,4 @@
-// What the parts of a node keep, put into its metrics before each scrape.
+// Copies the counters and states of the components of a node into its metrics before each scrape.
 
 #include "papayastep/net/task.h"
 #include "papayastep/node/node.h"
@@ -15,7 +15,7 @@
     return static_cast<double>(value);
 }
 
-/// -1: nothing was heard yet.
+/// Returns the age in seconds, or -1 if nothing has been received yet.
 double ageSeconds(std::optional<base::Duration> age)
 {
     return age ? std::chrono::duration<double>(*age).count() : -1;
@@ -31,7 +31,7 @@
     collectSlotMetrics();
 }
 
-/// What the node knows of the configuration and the platform, and how old that is.
+/// Collects the metrics of the configuration and the platform, including the age of the data.
 void Node::collectConfigurationMetrics()
 {
     NodeMetrics &metrics = m_context.metrics;
--- a/src/node/configurationfetcher.cpp
+++ b/src/node/configurationfetcher.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr std::string_view logPrefix = "platform";
-constexpr base::Duration lookAgainEvery = std::chrono::seconds(1);
+/// Longest time until a loop checks again for a due call.
+constexpr base::Duration recheckInterval = std::chrono::seconds(1);
 
 config::FileListing listingOf(const net::PublishedIndex &index)
 {
@@ -22,7 +23,7 @@
     return listing;
 }
 
-/// How long a call waits: a watch as long as it says, a read not at all.
+/// Time that the platform may wait before it answers a call: the requested time for a watch, 0 for a read.
 std::chrono::seconds waitOf(const membership::PlatformCall &call)
 {
     return call.kind == membership::PlatformCallKind::Watch ? call.wait : std::chrono::seconds(0);
@@ -76,7 +77,7 @@
         const auto now = m_context.clock.now();
         if (call.kind == membership::PlatformCallKind::None || call.notBefore > now) {
             co_await m_configurationChanged.waitUntil(
-                std::max(now + std::chrono::milliseconds(1), std::min(call.notBefore, now + lookAgainEvery)));
+                std::max(now + std::chrono::milliseconds(1), std::min(call.notBefore, now + recheckInterval)));
             continue;
         }
         co_await readConfiguration(call);
@@ -91,7 +92,7 @@
         const auto now = m_context.clock.now();
         if (call.kind == membership::PlatformCallKind::None || call.notBefore > now) {
             co_await m_vmListChanged.waitUntil(
-                std::max(now + std::chrono::milliseconds(1), std::min(call.notBefore, now + lookAgainEvery)));
+                std::max(now + std::chrono::milliseconds(1), std::min(call.notBefore, now + recheckInterval)));
             continue;
         }
         co_await readVmList(call);
@@ -125,7 +126,7 @@
         m_spread.platformFiles(listing, files);
     } catch (const base::Error &error) {
         PAPAYASTEP_LOG(WARNING, logPrefix)
-            << "Could not read the configuration." << base::field("code", number(error.code()))
+            << "Failed to read the configuration." << base::field("code", number(error.code()))
             << base::field("detail", error.detail());
         m_spread.platformFailed();
     }
@@ -140,13 +141,13 @@
             m_vmListRequestedAt = lastRequestedAt;
             m_spread.platformVmList(std::move(*list));
         } else {
-            // Unchanged at its end: the answer proves the list no longer than one empty watch ago.
+            // The watch ended without a change. This proves only that the list was current at the start of the watch.
             m_vmListRequestedAt = lastRequestedAt;
             m_spread.platformVmListUnchanged();
         }
         m_context.tokens.applyVmList(m_context.vms, m_vmListRequestedAt);
     } catch (const base::Error &error) {
-        PAPAYASTEP_LOG(WARNING, logPrefix) << "Could not read the VM list." << base::field("code", number(error.code()))
+        PAPAYASTEP_LOG(WARNING, logPrefix) << "Failed to read the VM list." << base::field("code", number(error.code()))
                                            << base::field("detail", error.detail());
         m_spread.platformVmListFailed();
     }
--- a/src/node/directoryupdater.cpp
+++ b/src/node/directoryupdater.cpp
@@ -12,9 +12,11 @@
 
 constexpr std::string_view logPrefix = "platform";
 
-/// A node whose readers cover it is told of a new revision by its peers. If that takes longer, it reads it itself: a
-/// configuration must be in force everywhere two seconds after the platform has it.
+/// Time that a node waits for its peers to send a new revision that the readers of the directory have announced. After
+/// it, the node reads the revision from the platform itself: a configuration must be active on all nodes two seconds
+/// after the platform has it.
 constexpr base::Duration revisionPatience = std::chrono::milliseconds(600);
+/// Interval of the loop while the readers keep this node up to date.
 constexpr base::Duration coveredPause = std::chrono::milliseconds(200);
 
 std::int64_t milliseconds(base::Duration duration)
@@ -72,7 +74,7 @@
                 wait = m_schedule.failed(m_context.random);
             }
             PAPAYASTEP_LOG(WARNING, logPrefix)
-                << "Could not read the directory of backend servers." << base::field("code", number(error.code()))
+                << "Failed to read the directory of backend servers." << base::field("code", number(error.code()))
                 << base::field("detail", error.detail()) << base::field("failures", m_schedule.failures())
                 << base::field("tookMs", milliseconds(m_context.clock.now() - lastRequestedAt))
                 << base::field("againInMs", milliseconds(wait));
@@ -132,7 +134,7 @@
     return m_relay.nextTick();
 }
 
-/// Whether the news of others are fresh enough to do without the platform.
+/// Whether the updates from readers are recent enough, so that this node need not call the platform.
 bool DirectoryUpdater::isCovered() const
 {
     return !m_relay.isReader() && m_directory.isKnown() && !m_schedule.mustList()
@@ -148,7 +150,7 @@
     }
     m_revisionPatience.noteAsked(m_context.clock.now());
     const base::Revision heard = m_revisionPatience.newestHeard();
-    PAPAYASTEP_LOG(WARNING, logPrefix) << "No peer brought a revision in time; reading it from the platform."
+    PAPAYASTEP_LOG(WARNING, logPrefix) << "No peer sent a revision in time; reading it from the platform."
                                        << base::field("heard", heard) << base::field("revision", active);
     m_onAnswer(heard, false);
 }
--- a/src/node/directoryupdater_test.cpp
+++ b/src/node/directoryupdater_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A directory whose first answer can't be read for lack of descriptors, and whose second one stops the loop.
+/// A server source whose first read fails because no file descriptors are left. The second read stops the event loop.
 class FailsOnce final : public net::ServerSource
 {
 public:
@@ -61,9 +61,9 @@
 
 }
 
-// One read of the directory fails in a way that nobody foresaw. The coroutine that watches it ended without a word: the
-// node went on with the servers that it knew, sent requests to those that had left, and never learned of new ones.
-BOOST_FIXTURE_TEST_CASE(directory_readFailsUnforeseen_isReadAgain, DirectoryUpdaterFixture)
+// Guards against an update loop that ends silently when a read of the directory throws an unexpected exception. The
+// node would then keep its list of servers, send requests to servers that have left, and never detect new ones.
+BOOST_FIXTURE_TEST_CASE(directory_readThrowsUnexpectedException_isReadAgain, DirectoryUpdaterFixture)
 {
     updater.start([](base::Revision, bool) {});
     io.run_for(std::chrono::seconds(10));
--- a/src/node/entryhandler.cpp
+++ b/src/node/entryhandler.cpp
@@ -30,7 +30,7 @@
         found->second->admissionDecided(decision.admission);
         return;
     }
-    // The caller went away while it waited; its token goes back to the others.
+    // The caller disconnected while its request was waiting; its token is given back.
     if (const auto *admitted = std::get_if<limits::Admitted>(&decision.admission)) {
         m_context.tokens.giveBack(admitted->token);
     }
--- a/src/node/entryrequest.cpp
+++ b/src/node/entryrequest.cpp
@@ -55,7 +55,7 @@
 EntryRequest::~EntryRequest()
 {
     if (m_claimed) {
-        // Whatever cut this request short, its run may have happened: the key must not become free again.
+        // The request ended early and may have run, so its idempotency key must not become free again.
         m_context.ledgerClient.completeUnknown(m_id);
     }
     m_handler.m_openRequests.erase(m_id);
@@ -71,7 +71,8 @@
     m_machine.handle(RequestEvent::Admit);
     m_exchange.watchClient([this, alive = std::weak_ptr<bool>(m_alive)] {
         if (!alive.expired()) {
-            // With an idempotency key the ledger wants to know how the run ends, though nobody waits here.
+            // With an idempotency key the attempt continues although the caller has disconnected, because the ledger
+            // needs its outcome.
             m_callerGone = m_caller.idempotencyKey.empty();
             m_changed.notify();
         }
@@ -150,7 +151,8 @@
     co_return refused;
 }
 
-/// A backend server of this VM sends its calls here, like any caller, and without a key.
+/// Whether the request may be a call of a backend server of this VM. Backend servers send their calls to their own node
+/// like any caller, but without a key.
 bool EntryRequest::mayBeCall() const
 {
     return m_caller.key.empty() && m_caller.timeout
@@ -224,7 +226,7 @@
     } catch (const base::Error &error) {
         co_return notRunRefusal(error.code());
     }
-    // A slow body leaves time for a key to be withdrawn, so the configuration is looked at again.
+    // A key may be withdrawn while a slow body is received, so the request is checked against the new configuration.
     if (m_context.active.configuration != m_active.configuration) {
         m_active = m_context.active;
         co_return identify();
@@ -258,7 +260,8 @@
     co_return std::nullopt;
 }
 
-/// A token pays for one attempt that may reach a backend server; one proved never to have run keeps its token.
+/// Acquires a token for a retry if needed. A token covers one attempt that may reach a backend server; an attempt that
+/// provably never ran leaves the token for the next one.
 net::Awaitable<EntryRequest::Step> EntryRequest::takeRetryToken()
 {
     const bool spent = m_token && m_context.tokens.chargesRepeats()
@@ -291,7 +294,7 @@
         }
     }
     const bool claimRefused = m_claim->verdict == routing::ClaimVerdict::Refuse;
-    PAPAYASTEP_LOG(INFO, "ledger") << "Decided on an idempotency key." << base::field("request", shownId())
+    PAPAYASTEP_LOG(INFO, "ledger") << "Checked an idempotency key." << base::field("request", shownId())
                                    << base::field("workspace", m_workspace)
                                    << base::field("verdict", verdictName(m_claim->verdict))
                                    << base::field("code", claimRefused ? number(m_claim->refusal.code) : 0);
@@ -315,7 +318,8 @@
     while (m_attemptMonitor.attempt() != nullptr) {
         const routing::AttemptResult result = co_await m_attemptMonitor.next(m_progress.deadline, m_callerGone);
         if (result.event == routing::AttemptEvent::AcknowledgedThenSilent && m_context.stopping) {
-            // A planned stop must not break off what a server is at work on, and a repeat may find no place.
+            // A planned stop must not abort an attempt that a server is processing, because a retry may find no free
+            // server.
             continue;
         }
         m_serverSelector.recordResult(m_currentServer, result, m_attemptMonitor.advice());
@@ -341,8 +345,8 @@
     const ServerRequirements need = serverRequirements();
     const auto choice = co_await m_serverSelector.choose(need, m_callerGone);
     if (m_callerGone) {
-        // Nothing is sent any more, and nobody is there to be told.
-        abandon("The caller went away while a server was chosen.");
+        // Nothing has been sent, and there is no caller left to answer.
+        abandon("The caller disconnected while a server was chosen.");
         co_return std::nullopt;
     }
     if (const auto *none = std::get_if<NoServer>(&choice)) {
@@ -353,8 +357,9 @@
     co_return std::nullopt;
 }
 
-/// Leaves an attempt that hangs for another server, if one has room. It may still end well, so with no place to go the
-/// request stays where it is: in an overload 95 of 311 failures were lookups cut off for a repeat that found none.
+/// Replaces an attempt that hangs by an attempt at another server that has a free slot. Without such a server the
+/// request continues to wait, because the attempt may still succeed: otherwise, in an overload, 95 of 311 failures were
+/// lookups aborted for a retry that found no server.
 net::Awaitable<void> EntryRequest::moveToOtherServer()
 {
     const ServerRequirements need = serverRequirements();
@@ -362,12 +367,12 @@
     const auto *chosen = std::get_if<ChosenServer>(&choice);
     if (chosen == nullptr) {
         m_surveyTally = std::get<NoServer>(choice).surveyTally;
-        logContinuedWait("No other server has room.");
+        logContinuedWait("No other server has a free slot.");
         co_return;
     }
     const Step unpaid = co_await takeRetryToken();
     if (unpaid || m_callerGone || m_attemptMonitor.attempt()->finished()) {
-        logContinuedWait(unpaid ? "No token is left for a repeat." : "It ended meanwhile.");
+        logContinuedWait(unpaid ? "No token is available for a retry." : "The attempt ended meanwhile.");
         co_return;
     }
     m_machine.handle(RequestEvent::Retry);
@@ -446,7 +451,7 @@
     request.head.method_string(head.method_string());
     request.head.target(head.target());
     net::copyEndToEnd(head, request.head);
-    // The key ends here: no serving node and no backend server needs it.
+    // The key is not forwarded, because no serving node and no backend server needs it.
     m_context.callers().strip(request.head);
     request.head.erase(net::http::field::expect);
     request.head.erase(net::http::field::content_length);
@@ -468,7 +473,7 @@
         co_return false;
     case routing::RetryAction::Wait:
         if (m_attemptMonitor.attempt()->finished()) {
-            // Nothing more will be heard of it, and nothing proves that it did not run.
+            // No more events of this attempt will follow, and nothing proves that it did not run.
             m_progress.mayHaveRun = true;
             co_await refuse(m_context.retryPolicy.refuseInstead(m_progress, ResultCode::OutcomeUnknown, {}));
             co_return true;
@@ -571,8 +576,8 @@
         m_context.tokens.giveBack(*m_token);
     }
     m_token.reset();
-    // A refusal doesn't wait for its record as an answer does: what was given up must not be held back by a home that
-    // is away. A repeat that overtakes the report is told to come again.
+    // Unlike an answer, a refusal does not wait until the ledger has recorded it: an unreachable home must not delay
+    // the refusal. A repeated request that arrives before the report is asked to retry later.
     reportToLedger(refusal);
     m_context.schedulePump();
     countOutcome(routing::name(refusal.outcome), refusal.code);
@@ -586,7 +591,8 @@
     // A named result: GCC 12 destroys an argument by value twice when the co_await stands in a condition.
     const bool sent = co_await m_exchange.answer(std::move(answer));
     if (!sent) {
-        PAPAYASTEP_LOG(INFO, logPrefix) << "Could not send the caller its answer." << base::field("request", shownId());
+        PAPAYASTEP_LOG(INFO, logPrefix) << "Failed to send the answer to the caller."
+                                        << base::field("request", shownId());
     }
 }
 
@@ -604,7 +610,7 @@
     m_context.metrics.countRequest({m_progress.service, m_progress.idempotent, outcome, code, took});
 }
 
-/// With what the choice went by, and how old that is.
+/// Logs a placement with the estimates on which it is based and their age.
 void EntryRequest::logPlacement(const ChosenServer &chosen) const
 {
     const routing::Candidate &server = chosen.candidate;
@@ -622,7 +628,7 @@
                                     << base::field("revision", m_active.configuration->revision())
                                     << base::field("leftMs", milliseconds(left));
     if (chosen.lastResort && chosen.surveyTally.asked > 0) {
-        PAPAYASTEP_LOG(INFO, logPrefix) << "Every server is full or held back as gray."
+        PAPAYASTEP_LOG(INFO, logPrefix) << "All servers are full or held back as gray."
                                         << base::field("request", shownId()) << base::field("server", server.server)
                                         << base::field("heard", chosen.surveyTally);
     }
@@ -636,21 +642,21 @@
                                     << base::field("tookMs", milliseconds(m_context.clock.now() - m_arrived));
 }
 
-/// An attempt that is silent was to be repeated elsewhere, and is awaited instead.
+/// Logs that a silent attempt, which was to be retried at another server, is still awaited.
 void EntryRequest::logContinuedWait(std::string_view reason) const
 {
-    PAPAYASTEP_LOG(INFO, logPrefix) << "Stays with a silent attempt." << base::field("request", shownId())
+    PAPAYASTEP_LOG(INFO, logPrefix) << "Continues to wait for a silent attempt." << base::field("request", shownId())
                                     << base::field("attempt", m_progress.tries)
                                     << base::field("server", m_currentServer) << base::field("reason", reason)
                                     << base::field("heard", m_surveyTally);
 }
 
-/// Refusals that are proved not to have run come by the hundred in an overload and are summed up; one whose outcome is
-/// unknown is what users ask about, and always has its line.
+/// Logs a refusal. Refusals of requests that provably did not run occur by the hundred in an overload and are
+/// summarised; a refusal with an unknown outcome is always logged on its own line, because users ask about it.
 void EntryRequest::logRefusal(const routing::Refusal &refusal) const
 {
-    const bool folds = refusal.outcome == routing::Outcome::NotRun;
-    if (folds && !m_context.refusalLog.record(refusal.code, shownId())) {
+    const bool isSummarised = refusal.outcome == routing::Outcome::NotRun;
+    if (isSummarised && !m_context.refusalLog.record(refusal.code, shownId())) {
         return;
     }
     PAPAYASTEP_LOG(WARNING, logPrefix) << "Refused a request." << base::field("request", shownId())
@@ -664,7 +670,7 @@
                                        << refusalDetails(refusal);
 }
 
-/// What a refusal went by, as fields of its line.
+/// Returns the inputs of the decision to refuse, as log fields.
 std::string EntryRequest::refusalDetails(const routing::Refusal &refusal) const
 {
     std::ostringstream fields;
@@ -694,7 +700,7 @@
     m_claimed = false;
     m_context.schedulePump();
     if (answer.remainingBody) {
-        // The ledger keeps no large answers, but it must know that the request ran.
+        // The ledger stores no large answers, but it must record that the request ran.
         m_context.ledgerClient.completeUnknown(m_id);
         return;
     }
@@ -711,17 +717,18 @@
     m_context.ledgerClient.completeWithAnswer(m_id, std::move(stored));
 }
 
-/// A caller that has its answer may repeat at once through another node. Should the repeat overtake our report, it
-/// would be told that the first run has not ended; so the answer waits until the home has the report. A home that is
-/// away must not hold the answer back for long: the report is resent meanwhile.
+/// Waits until the home of the idempotency key has recorded the end of the request. A caller that has its answer may
+/// immediately repeat the request through another node; if the repeated request arrived before the report, it would be
+/// refused because the first run had not ended. The wait is short, so that an unreachable home does not delay the
+/// answer for long; the report is resent meanwhile.
 net::Awaitable<void> EntryRequest::waitForLedgerRecord()
 {
     const auto limit = std::min(m_progress.deadline, m_context.clock.now() + m_context.ledgerClient.recordPatience());
     while (m_context.ledgerClient.isReporting(m_id)) {
         if (m_context.clock.now() >= limit) {
             PAPAYASTEP_LOG(INFO, "ledger")
-                << "Answers before the home of the idempotency key has the end." << base::field("request", shownId())
-                << base::field("workspace", m_workspace);
+                << "Answers before the home of the idempotency key has recorded the end."
+                << base::field("request", shownId()) << base::field("workspace", m_workspace);
             co_return;
         }
         co_await m_changed.waitUntil(limit);
--- a/src/node/entryrequest.h
+++ b/src/node/entryrequest.h
@@ -11,10 +11,12 @@
 
 namespace papayastep::node {
 
-/// One request of a caller at its entry, from its head to its answer. Lives in the coroutine that handles it.
+/// One request of a caller at its entry, from its head to its answer. It exists as long as the coroutine that handles
+/// it.
 ///
-/// The order is: where (route), who (key, workspace), whether (token, idempotency key), then attempt by attempt. Each
-/// step either goes on or answers the caller with a refusal that says whether the request ran.
+/// The request is processed in this order: route, key and workspace, rate limit token, idempotency key, then one
+/// attempt after the other. Each step either continues or answers the caller with a refusal that states whether the
+/// request ran.
 class EntryRequest
 {
 public:
@@ -36,7 +38,7 @@
     void slotOffered(const wire::SlotOffer &offer);
 
 private:
-    /// A step's refusal; nothing means to go on.
+    /// The refusal by a step; without a value the request continues.
     using Step = std::optional<routing::Refusal>;
 
     net::Awaitable<Step> prepare();
@@ -75,7 +77,7 @@
     void reportToLedger(const routing::Refusal &refusal);
     void reportAnswerToLedger(const ServedAnswer &answer);
     net::Awaitable<void> waitForLedgerRecord();
-    /// What the caller calls the request, or else our own id.
+    /// Returns the caller's own id of the request, or the id of this system if the caller sent none.
     std::string shownId() const;
 
     EntryHandler &m_handler;
@@ -89,25 +91,26 @@
     routing::RequestMachine m_machine;
     routing::RequestProgress m_progress;
 
-    ActiveConfiguration m_active; ///< Keeps the configuration of this request alive while it runs.
+    ActiveConfiguration m_active; ///< Keeps the configuration alive while the request runs.
     CallerRequest m_caller;
     std::string m_fingerprint;
-    base::WorkspaceId m_workspace; ///< Empty on a public route.
+    base::WorkspaceId m_workspace; ///< Empty for a public route.
     const config::Route *m_route = nullptr;
-    bool m_isCall = false; ///< May be a call of a backend server of this VM.
+    bool m_isCall = false; ///< The request may be a call of a backend server of this VM.
     int m_priority = 0;
     std::string m_body;
 
     std::optional<limits::Admission> m_admission;
     std::optional<limits::Token> m_token;
     std::optional<routing::ClaimAnswer> m_claim;
-    bool m_claimed = false; ///< The ledger was told that this request runs and waits for its end.
+    bool m_claimed = false; ///< The ledger has granted the claim of this request and waits for its end.
 
-    base::BackendServerId m_currentServer; ///< Of the last attempt.
-    routing::SurveyTally m_surveyTally; ///< When no server was found.
-    std::string m_tokensRefusedBy; ///< A VM, or that none answered; empty: not known.
+    base::BackendServerId m_currentServer; ///< Backend server of the last attempt.
+    routing::SurveyTally m_surveyTally; ///< Answers to the last survey that found no server.
+    std::string m_tokensRefusedBy; ///< The VM that refused, or `nobody-answered`; empty if unknown.
     bool m_callerGone = false;
-    std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< For callbacks that may come after the end.
+    std::shared_ptr<bool> m_alive
+        = std::make_shared<bool>(true); ///< Expires with the request, for callbacks that may run after its end.
 };
 
 }
--- a/src/node/hophandler.cpp
+++ b/src/node/hophandler.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view logPrefix = "hop";
 
-/// The answer that the serving side is working on, shared by its coroutine and the one of the connection.
+/// The pending answer of the serving side, shared by the coroutines of the serving side and of the connection.
 struct Pending
 {
     explicit Pending(net::asio::io_context &io)
@@ -22,7 +22,7 @@
     }
     net::Signal changed;
     std::optional<ServedAnswer> answer;
-    bool suspect = false; ///< The attempt seems to hang, which the entry is yet to be told.
+    bool hangSuspected = false; ///< The attempt seems to hang, and the entry has not been notified yet.
 };
 
 net::ClientRequest backendRequest(const net::RequestHead &head, std::string body)
@@ -56,11 +56,11 @@
                   pending,
                   hop,
                   request = backendRequest(exchange.head(), std::move(body))]() mutable -> net::Awaitable<void> {
-        auto suspect = [pending] {
-            pending->suspect = true;
+        auto onHangSuspected = [pending] {
+            pending->hangSuspected = true;
             pending->changed.notify();
         };
-        pending->answer = co_await m_serving.serve(std::move(hop), std::move(request), std::move(suspect));
+        pending->answer = co_await m_serving.serve(std::move(hop), std::move(request), std::move(onHangSuspected));
         pending->changed.notify();
     };
     net::spawnTask(m_context.io, "serve", std::move(serve));
@@ -68,16 +68,17 @@
         m_serving.entryDisconnected(id, attempt);
     });
 
-    // An answer that comes at once is its own acknowledgement; only a slower one costs a message of its own.
+    // A fast answer needs no acknowledgement; only a slower one is acknowledged by a separate message.
     const auto acknowledgeAt = m_context.clock.now() + m_context.settings.acknowledgeAfter;
     const bool quick = pending->answer || co_await pending->changed.waitUntil(acknowledgeAt);
     if (!quick) {
         co_await exchange.acknowledge();
     }
     while (!pending->answer) {
-        const bool tell = std::exchange(pending->suspect, false);
-        if (tell) {
-            // A second acknowledgement says so; the entry knows the first by its being the first.
+        const bool reportHang = std::exchange(pending->hangSuspected, false);
+        if (reportHang) {
+            // A second acknowledgement tells the entry that the attempt seems to hang; the first one only confirms
+            // receipt.
             co_await exchange.acknowledge();
             continue;
         }
@@ -106,7 +107,7 @@
     } catch (const base::Error &error) {
         code = error.code();
     }
-    PAPAYASTEP_LOG(WARNING, logPrefix) << "Refused a request that is no hop of this fleet."
+    PAPAYASTEP_LOG(WARNING, logPrefix) << "Refused a request that is not a hop of this fleet."
                                        << base::field("remote", exchange.remoteAddress())
                                        << base::field("code", number(code));
     net::WholeAnswer answer = refusal(code, {});
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -1,4 +1,4 @@
-// papayastepd: one node of the fleet.
+// papayastepd, the program of one node of the fleet.
 
 #include "adapter.h"
 
@@ -19,9 +19,9 @@
 
 namespace {
 
-// The libraries' own initialisation runs before main(), and a signal that comes in it would end the process. Only here
-// it can be preceded.
-[[gnu::section(".preinit_array"), gnu::used]] void (*const holdBackBeforeInitialisation)()
+// The initialisation of the libraries runs before main(), and a signal that arrives during it would terminate the
+// process. Functions in .preinit_array are the only ones that run earlier.
+[[gnu::section(".preinit_array"), gnu::used]] void (*const blockSignalsBeforeInitialisation)()
     = papayastep::node::blockSignals;
 
 namespace options = boost::program_options;
@@ -47,8 +47,8 @@
     description.add_options()("help", "print this text")("version", "print the version")(
         "settings", options::value(&line.settingsFile), "settings file (JSON, docs/OPERATORS.md)")(
         "check-settings", options::bool_switch(&line.checkOnly), "check the settings and exit")(
-        "vm", options::value(&over.vm), "name of this VM, instead of the file's")(
-        "zone", options::value(&over.zone), "availability zone, instead of the file's")(
+        "vm", options::value(&over.vm), "name of this VM, overrides the settings file")(
+        "zone", options::value(&over.zone), "availability zone, overrides the settings file")(
         "listen-caller", options::value(&over.caller), "address:port for callers")(
         "listen-hop", options::value(&over.hop), "address:port for hops of other nodes")(
         "listen-peer", options::value(&over.peer), "address:port for messages of other nodes")(
@@ -69,7 +69,7 @@
         std::cout << "papayastepd " PAPAYASTEP_VERSION "\n";
         line.done = true;
     } else if (line.settingsFile.empty()) {
-        throw Error(ResultCode::CommandLine, "--settings FILE is needed (see --help)");
+        throw Error(ResultCode::CommandLine, "--settings FILE is required (see --help)");
     }
     return line;
 }
@@ -91,7 +91,7 @@
     return papayastep::node::nativeInterfaces(io, clock, settings);
 }
 
-void react(papayastep::node::Node &node, papayastep::node::SignalRequest request, int signal)
+void handleSignal(papayastep::node::Node &node, papayastep::node::SignalRequest request, int signal)
 {
     using papayastep::node::SignalRequest;
     switch (request) {
@@ -119,7 +119,8 @@
     auto interfaces = interfacesOf(io, clock, settings);
     papayastep::node::Node node(
         io, clock, std::move(settingsReloader), std::move(settings), std::move(interfaces), log, randomSeed());
-    signals.watch([&node](papayastep::node::SignalRequest request, int signal) { react(node, request, signal); });
+    signals.watch(
+        [&node](papayastep::node::SignalRequest request, int signal) { handleSignal(node, request, signal); });
     papayastep::net::runLoop(io);
 }
 
@@ -135,11 +136,11 @@
             return 0;
         }
         if (sodium_init() < 0) {
-            throw Error(ResultCode::Internal, "libsodium does not start");
+            throw Error(ResultCode::Internal, "libsodium failed to initialise");
         }
         if (line.checkOnly) {
             papayastep::node::readSettings(line.settingsFile, line.overrides);
-            std::cout << "The settings are good.\n";
+            std::cout << "The settings are valid.\n";
             return 0;
         }
         papayastep::routing::requestChart();
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -8,9 +8,11 @@
 
 namespace {
 
-/// A planned fleet has 1,200 services, and each may take some dozens of series at a node.
-constexpr std::size_t mostServiceLabels = 64;
+/// Maximum number of services with a label of their own. A planned fleet has 1,200 services, and each may need dozens
+/// of series at a node.
+constexpr std::size_t maxServiceLabels = 64;
 
+/// Upper bounds of the histogram buckets, in seconds.
 const prometheus::Histogram::BucketBoundaries secondsBuckets{
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10};
 
@@ -23,27 +25,31 @@
 
 NodeMetrics::NodeMetrics()
     : m_registry(std::make_shared<prometheus::Registry>())
-    , m_requests(counters("requests_total", "Requests of callers that ended (code 0: answered by a backend server)"),
-                 {"service", "kind", "outcome", "code"})
+    , m_requests(
+          counters("requests_total", "Requests of callers that have ended (code 0: answered by a backend server)"),
+          {"service", "kind", "outcome", "code"})
     , m_requestSeconds(histograms("request_seconds", "Time from the head of a request to its answer"),
                        {"service", "outcome"})
-    , m_attempts(counters("attempts_total", "What was heard of attempts"), {"service", "event"})
-    , m_retryDecisions(counters("retry_decisions_total", "What was done after an attempt"), {"service", "action"})
-    , m_placements(counters("placements_total", "Attempts placed, by why their server was chosen"),
+    , m_attempts(counters("attempts_total", "Events of attempts, as reported to the entry"), {"service", "event"})
+    , m_retryDecisions(counters("retry_decisions_total", "Actions of the retry policy after attempts"),
+                       {"service", "action"})
+    , m_placements(counters("placements_total", "Attempts placed, by the reason for the choice of their server"),
                    {"service", "reason"})
     , m_queueWait(histograms("queue_wait_seconds", "Time that attempts waited for a slot of a backend server"),
                   {"service"})
-    , m_served(
-          counters("served_attempts_total", "Attempts that backend servers of this VM worked on, by how they ended"),
-          {"service", "outcome"})
-    , m_slotHeld(histograms("slot_held_seconds", "Time that attempts held a slot of a backend server"), {"service"})
+    , m_served(counters("served_attempts_total", "Attempts that backend servers of this VM processed, by outcome"),
+               {"service", "outcome"})
+    , m_slotHeld(histograms("slot_held_seconds", "Time that attempts occupied a slot of a backend server"), {"service"})
     , m_refusedAttempts(counters("refused_attempts_total", "Attempts that this node refused before they ran"), {"code"})
-    , m_cancels(counters("cancels_total", "Cancels of attempts that came to this node, by its answer"), {"answer"})
-    , m_holds(counters("server_holds_total", "Times that a backend server of this VM was held back as gray"),
+    , m_cancels(counters("cancels_total", "Cancel requests for attempts at this node, by its answer"), {"answer"})
+    , m_holds(counters("server_holds_total", "Number of times that a backend server of this VM was held back as gray"),
               {"service", "evidence"})
-    , m_returns(counters("server_returns_total", "Times that a server held back answered again"), {"service"})
-    , m_healthEvents(counters("health_events_total", "Decisions about servers and paths"), {"event"})
-    , m_reloads(counters("settings_reloads_total", "Changed settings files, taken over or refused and kept from use"),
+    , m_returns(counters("server_returns_total", "Number of times that a server that was held back answered again"),
+                {"service"})
+    , m_healthEvents(counters("health_events_total", "Decisions of the health monitor about servers and paths"),
+                     {"event"})
+    , m_reloads(counters("settings_reloads_total",
+                         "Changed settings files, by result: taken over, or rejected with the previous settings kept"),
                 {"result"})
 {
 }
@@ -160,7 +166,7 @@
     if (known != m_services.end()) {
         return *known;
     }
-    return m_services.size() < mostServiceLabels ? *m_services.insert(service.value()).first : other;
+    return m_services.size() < maxServiceLabels ? *m_services.insert(service.value()).first : other;
 }
 
 std::string NodeMetrics::text() const
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -16,20 +16,25 @@
 namespace {
 
 constexpr std::string_view logPrefix = "node";
-constexpr base::Duration longestTick = std::chrono::milliseconds(500);
-constexpr base::Duration shortestTick = std::chrono::milliseconds(1);
-constexpr base::Duration longestSettling = std::chrono::seconds(12);
-constexpr base::Duration sweepEvery = std::chrono::seconds(5);
-constexpr base::Duration drainPoll = std::chrono::milliseconds(20);
-/// For writing the answers to requests that are still open when a planned stop runs out of patience.
-constexpr base::Duration lastAnswers = std::chrono::milliseconds(200);
-
-// After an outage a change must be in force some five seconds later; nodes that ask once a second at least see it in
-// time.
-constexpr base::Duration longestBackoff = std::chrono::milliseconds(1000);
-
-// Parts of the file descriptors of the process. Callers that open connections without end must not keep the node from
-// opening its own: its hops would fail, and healthy servers and paths be taken for sick.
+/// Longest time between two ticks.
+constexpr base::Duration maxTickInterval = std::chrono::milliseconds(500);
+/// Shortest time between two ticks.
+constexpr base::Duration minTickInterval = std::chrono::milliseconds(1);
+/// Longest time after the start for which a node waits for its shares before it reports ready.
+constexpr base::Duration maxSettlingTime = std::chrono::seconds(12);
+/// Interval of maintenance work such as expiring idle connections.
+constexpr base::Duration sweepInterval = std::chrono::seconds(5);
+/// Interval at which a planned stop checks whether the requests in flight have ended.
+constexpr base::Duration drainPollInterval = std::chrono::milliseconds(20);
+/// Time for sending the answers to requests that are still open at the drain timeout of a planned stop.
+constexpr base::Duration finalAnswerTimeout = std::chrono::milliseconds(200);
+
+// After an outage of the platform a change must become active within about five seconds. Nodes that ask at least once a
+// second detect it in time.
+constexpr base::Duration maxPlatformBackoff = std::chrono::milliseconds(1000);
+
+// Shares of the file descriptors of the process. Callers that open more and more connections must not prevent the node
+// from opening its own: its hops would fail, and healthy servers and paths would be classified as faulty.
 constexpr double callerShare = 0.5;
 constexpr double hopShare = 0.25;
 
@@ -51,10 +56,10 @@
     membership::SpreadSettings settings;
     settings.buildElsewhere = true;
     if (hasDirectory) {
-        // The watch of the directory tells of a new revision too, so no node needs a second watch for it.
+        // The watch of the directory also reports new revisions, so no node needs a second watch for them.
         settings.readersPerZone = 0;
         settings.filesComeWithListing = true;
-        settings.longestBackoff = longestBackoff;
+        settings.longestBackoff = maxPlatformBackoff;
     }
     return settings;
 }
@@ -77,14 +82,15 @@
     return {settings.caller.port, settings.hop.port, settings.peer.port, settings.admin.port};
 }
 
+/// The result of a build and the route table that belongs to it.
 struct Built
 {
     membership::BuildResult result;
     std::shared_ptr<const routing::RouteTable> routes;
 };
 
-/// Runs in the builder's thread, out of which any exception ends the process. A revision that can't be built for
-/// whatever reason is rejected instead, and the one in force stays.
+/// Builds a configuration. It runs in the builder thread, where an uncaught exception would terminate the process. A
+/// revision that can't be built for any reason is rejected instead, and the active revision stays.
 Built buildAll(const membership::Build &build) noexcept
 {
     try {
@@ -137,7 +143,7 @@
     , m_hopServer(io, m_context.settings.hop, limitsWithin(hopShare, m_context.settings.limits), m_hopHandler)
     , m_adminServer(io, m_context.settings.admin, {}, m_adminHandler)
     , m_tickSignal(io)
-    , m_readyDeadline(clock.now() + longestSettling)
+    , m_readyDeadline(clock.now() + maxSettlingTime)
     , m_stateMachine(nodeChart())
 {
     m_context.schedulePump = [this] { schedulePump(); };
@@ -187,7 +193,8 @@
     net::spawnTask(m_context.io, "drain", [this] { return drainAndStop(); });
 }
 
-// Decisions and messages pile up in the packages while events come in; one pump after a burst of events takes them all.
+// Decisions and messages accumulate in the packages while events are handled; a single run of the message pump after a
+// burst of events processes all of them.
 void Node::pump()
 {
     m_pumpScheduled = false;
@@ -231,8 +238,8 @@
 void Node::dispatch(const wire::Envelope &envelope)
 {
     m_processes.noteHeard(envelope.sender, envelope.incarnation);
-    const bool stranger = !m_vmDirectory.isListed(envelope.sender);
-    if (!stranger) {
+    const bool unlisted = !m_vmDirectory.isListed(envelope.sender);
+    if (!unlisted) {
         m_vmDirectory.noteHeard(envelope.sender, envelope.incarnation);
         m_spread.noteRevision(envelope.sender, envelope.revision);
     }
@@ -326,17 +333,17 @@
     m_context.active.routes = m_builtRoutes;
     activateConfiguration();
     applyCallerLimits();
-    PAPAYASTEP_LOG(INFO, "config") << "Put a configuration in force."
-                                   << base::field("revision", m_published->revision())
+    PAPAYASTEP_LOG(INFO, "config") << "Activated a configuration." << base::field("revision", m_published->revision())
                                    << base::field("source", accepted.source)
                                    << base::field("workspaces", m_published->workspaces().size())
                                    << base::field("routes", m_published->routes().size());
-    // A build takes some three times the memory of its result and frees it in small pieces, which the allocator keeps:
-    // a node of the planned size then shows 92 MB for a configuration of 30 MB. So it is told to give them back.
+    // A build needs about three times the memory of its result and frees it in small pieces, which the allocator
+    // retains: a node of the planned size then occupies 92 MB for a configuration of 30 MB. So the allocator is made to
+    // return the free memory to the operating system.
     net::asio::post(m_builder, [] { malloc_trim(0); });
 }
 
-/// The published configuration with the backend servers of the directory, if there is one.
+/// Activates the published configuration, with the backend servers of the directory if there is one.
 void Node::activateConfiguration()
 {
     config::ConfigurationPtr configuration = m_published;
@@ -394,7 +401,7 @@
     if (m_context.callers().hasIdempotencyKeys()) {
         m_context.ledgerHome.applyVmList(m_context.vms);
     }
-    PAPAYASTEP_LOG(INFO, "membership") << "Took a VM list." << base::field("version", m_context.vms.version)
+    PAPAYASTEP_LOG(INFO, "membership") << "Activated a VM list." << base::field("version", m_context.vms.version)
                                        << base::field("vms", m_context.vms.vms.size());
     m_configurationFetcher.wake();
     schedulePump();
@@ -407,8 +414,8 @@
     }
 }
 
-// The line stands for every request, also where nothing has changed: whoever sees a process end at the time of a reload
-// must be able to tell whether the signal reached it.
+// Every request is logged, even if nothing has changed: an operator who sees a process end at the time of a reload must
+// be able to determine whether the signal reached it.
 void Node::requestReload()
 {
     PAPAYASTEP_LOG(INFO, logPrefix) << "Asked to reload." << base::field("open", m_entryHandler.openRequests())
@@ -423,17 +430,17 @@
         if (!fresh) {
             return;
         }
-        const std::string waiting = settingsNeedingRestart(m_context.settings, *fresh);
+        const std::string needRestart = settingsNeedingRestart(m_context.settings, *fresh);
         m_context.settings = withReloadableSettings(m_context.settings, *fresh);
         applyRetryLimit();
         if (m_published) {
             applyCallerLimits();
         }
         m_context.metrics.countReload("taken");
-        PAPAYASTEP_LOG(INFO, logPrefix) << "Took over changed settings." << base::field("atNextStart", waiting);
+        PAPAYASTEP_LOG(INFO, logPrefix) << "Took over changed settings." << base::field("atNextStart", needRestart);
     } catch (const base::Error &error) {
         m_context.metrics.countReload("kept");
-        PAPAYASTEP_LOG(ERROR, logPrefix) << "Kept the settings; the changed file is wrong."
+        PAPAYASTEP_LOG(ERROR, logPrefix) << "Kept the previous settings because the changed file is invalid."
                                          << base::field("code", number(error.code()))
                                          << base::field("detail", error.what());
     }
@@ -448,8 +455,8 @@
     }
 }
 
-// Each part by itself: one that fails at every tick would otherwise keep the parts after it from ever having theirs,
-// and leases or tokens would run out for no reason of their own.
+// Each component ticks in a separate step. Otherwise a component that fails at every tick would prevent the ticks of
+// all components after it, and their leases or tokens would expire without a fault of their own.
 void Node::tick()
 {
     const auto step = [this](const char *part, const auto &run) { net::runStep(m_context.io, part, run); };
@@ -463,7 +470,7 @@
     step("refusals", [this] { logRefusalSummaries(); });
     const auto now = m_context.clock.now();
     if (now >= m_nextSweep) {
-        m_nextSweep = now + sweepEvery;
+        m_nextSweep = now + sweepInterval;
         step("sweep", [this] { sweep(); });
     }
 }
@@ -492,7 +499,7 @@
 base::TimePoint Node::nextTick()
 {
     const auto now = m_context.clock.now();
-    auto next = now + longestTick;
+    auto next = now + maxTickInterval;
     next = std::min(next, m_context.tokens.nextTick().value_or(next));
     next = std::min(next, m_context.health.nextTick());
     next = std::min(next, m_context.ledgerClient.nextTick());
@@ -503,7 +510,7 @@
     if (m_directoryUpdater) {
         next = std::min(next, m_directoryUpdater->nextTick().value_or(next));
     }
-    return std::max(next, now + shortestTick);
+    return std::max(next, now + minTickInterval);
 }
 
 net::Awaitable<void> Node::tickLoop()
@@ -516,8 +523,8 @@
     }
 }
 
-// The process must end whatever fails on the way: one that stays is killed at the end of its grace time, with the
-// requests in flight.
+// The process must end even if a step fails: a process that stays is killed at the end of its grace period, together
+// with the requests in flight.
 net::Awaitable<void> Node::drainAndStop()
 {
     try {
@@ -552,9 +559,9 @@
         schedulePump();
     });
 
-    const auto patience = m_context.clock.now() + m_context.settings.drainTimeout;
-    while (!isIdle() && m_context.clock.now() < patience) {
-        timer.expires_after(drainPoll);
+    const auto deadline = m_context.clock.now() + m_context.settings.drainTimeout;
+    while (!isIdle() && m_context.clock.now() < deadline) {
+        timer.expires_after(drainPollInterval);
         co_await timer.async_wait(net::into(ignored));
         tick();
         net::runStep(m_context.io, "pump", [this] { pump(); });
@@ -562,8 +569,8 @@
     co_await answerOpenRequests();
 }
 
-/// Callers whose requests are still open when patience ends are told that the outcome is unknown. A connection that
-/// closes without an answer would not tell them whether to ask again.
+/// Answers the requests that are still open at the drain timeout with an unknown outcome. If their connections were
+/// closed without an answer, the callers would not know whether to retry.
 net::Awaitable<void> Node::answerOpenRequests()
 {
     if (m_entryHandler.openRequests() == 0) {
@@ -572,9 +579,9 @@
     m_entryHandler.expireAll();
     net::asio::steady_timer timer(m_context.io);
     net::beast::error_code ignored;
-    const auto patience = m_context.clock.now() + lastAnswers;
-    while (m_callerServer.inFlight() > 0 && m_context.clock.now() < patience) {
-        timer.expires_after(drainPoll);
+    const auto deadline = m_context.clock.now() + finalAnswerTimeout;
+    while (m_callerServer.inFlight() > 0 && m_context.clock.now() < deadline) {
+        timer.expires_after(drainPollInterval);
         co_await timer.async_wait(net::into(ignored));
     }
 }
--- a/src/node/nodecontext.cpp
+++ b/src/node/nodecontext.cpp
@@ -30,8 +30,9 @@
 {
     health::HealthSettings health;
     if (settings.placement == PlacementChoice::LeastCost) {
-        // Entries learn from each answer and from notices, so siblings need to hear of each other only now and then:
-        // at one state a second they made a sixth of the bytes between zones of a fleet of 22.
+        // Entries receive the state of servers with each answer and by notices, so siblings need to exchange their
+        // states only rarely: with one state per second these messages were a sixth of the bytes between the zones of a
+        // fleet of 22 nodes.
         health.siblingInterval = std::chrono::seconds(3);
         health.controlBytesPerSecond = 500;
     }
@@ -46,7 +47,7 @@
 routing::RetrySettings retrySettings()
 {
     routing::RetrySettings settings;
-    settings.answerMultiple = 0; // ServingNode gives up on what hangs.
+    settings.answerMultiple = 0; // ServingNode detects attempts that hang.
     return settings;
 }
 
--- a/src/node/nodepages.cpp
+++ b/src/node/nodepages.cpp
@@ -1,4 +1,4 @@
-// The pages of a node for operators: /healthz, /readyz, /status, /explain and /metrics.
+// The HTTP pages of a node for operators: /healthz, /readyz, /status, /explain and /metrics.
 
 #include "papayastep/net/task.h"
 #include "papayastep/node/candidates.h"
@@ -107,9 +107,9 @@
 
 net::WholeAnswer Node::readyPage() const
 {
-    // A rolling restart goes on to the next node when this one is ready. If that were before the shares of this VM are
-    // in its hands, a few restarts in a row would leave no holder that may grant, and callers inside their rate be
-    // refused.
+    // A rolling restart continues with the next node once this node is ready. If the node reported ready before it
+    // holds the shares of this VM, several restarts in a row would leave no holder that may grant tokens, and callers
+    // within their rate limit would be refused.
     const bool settled = m_context.tokens.isSettled() || m_context.clock.now() >= m_readyDeadline;
     const bool ready = m_stateMachine.state() == NodeState::Serving && settled;
     const auto status = ready ? net::http::status::ok : net::http::status::service_unavailable;
--- a/src/node/peermessenger.cpp
+++ b/src/node/peermessenger.cpp
@@ -36,7 +36,8 @@
     if (message.kind == wire::MessageKind::RevisionNotice) {
         envelope.replyTo = ownEndpoint();
     }
-    // An older peer may not read compressed payloads; one that was never heard is taken for such.
+    // Older peers may be unable to read compressed payloads; a peer whose capabilities are unknown is treated as an
+    // older one.
     const auto known = m_capabilities.find(message.to);
     const bool compress = known != m_capabilities.end() && (known->second & wire::capabilityCompressed) != 0;
     const std::string sealed = m_codec.seal(envelope, compress);
@@ -86,8 +87,9 @@
     return self != nullptr ? net::toString({self->address, self->peerPort}) : std::string();
 }
 
-// A node that starts while the platform is away has no VM list, so it could answer nobody and would wait for hours
-// among peers that know all it needs. The sender of a notice says where it listens; that is enough to ask for the list.
+// A node that starts while the platform is unavailable has no VM list. Without endpoints it could answer no peer and
+// would wait for hours although its peers have all the data that it needs. The sender of a revision notice names its
+// endpoint, which is enough to request the list from it.
 void PeerMessenger::learnEndpoint(const wire::Envelope &envelope)
 {
     constexpr std::size_t maxLearned = 64;
@@ -110,7 +112,7 @@
         m_receiver(envelope);
     } catch (const base::Error &error) {
         ++m_refusedMessages;
-        PAPAYASTEP_LOG(WARNING, logPrefix) << "Refused a message." << base::field("code", number(error.code()))
+        PAPAYASTEP_LOG(WARNING, logPrefix) << "Rejected a message." << base::field("code", number(error.code()))
                                            << base::field("detail", error.detail());
     }
 }
--- a/src/node/prober.cpp
+++ b/src/node/prober.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-constexpr base::Duration interval = std::chrono::seconds(1);
-constexpr base::Duration timeout = std::chrono::milliseconds(800); ///< Ends before the next round begins.
-constexpr std::size_t answerBytes = 4096;
+/// Time between two rounds of probes.
+constexpr base::Duration probeInterval = std::chrono::seconds(1);
+constexpr base::Duration probeTimeout = std::chrono::milliseconds(800); ///< Expires before the next round begins.
+constexpr std::size_t maxAnswerBytes = 4096; ///< Number of bytes of an answer that are buffered.
 
 }
 
@@ -28,7 +29,7 @@
     net::asio::steady_timer timer(m_context.io);
     net::beast::error_code error;
     while (!error) {
-        timer.expires_after(interval);
+        timer.expires_after(probeInterval);
         co_await timer.async_wait(net::into(error));
         if (m_context.active.configuration && !m_context.draining) {
             startProbes();
@@ -55,7 +56,7 @@
     const net::Endpoint endpoint{server.address, server.port};
     auto exchange = std::make_shared<net::HttpExchange>(m_context.io, m_context.backendPool, endpoint);
     net::asio::steady_timer deadline(m_context.io);
-    deadline.expires_after(timeout);
+    deadline.expires_after(probeTimeout);
     deadline.async_wait([weak = std::weak_ptr<net::HttpExchange>(exchange)](const net::beast::error_code &error) {
         const auto late = weak.lock();
         if (!error && late) {
@@ -66,7 +67,7 @@
     request.head.method(net::http::verb::get);
     request.head.target(path);
     request.head.set(net::http::field::host, net::toString(endpoint));
-    co_await exchange->run(std::move(request), answerBytes);
+    co_await exchange->run(std::move(request), maxAnswerBytes);
     const bool whole = exchange->progress() == net::ExchangeProgress::Complete;
     const bool good = whole && m_context.backends().isHealthy(exchange->head(), server.id);
     m_context.health.healthHint(server.id, good);
--- a/src/node/processsignals.cpp
+++ b/src/node/processsignals.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr int stopSignals[] = {SIGTERM, SIGINT, SIGQUIT};
-constexpr int idleSignals[] = {SIGUSR1, SIGUSR2, SIGALRM};
+constexpr int ignoredSignals[] = {SIGUSR1, SIGUSR2, SIGALRM};
 
 sigset_t allSignals()
 {
@@ -18,7 +18,7 @@
     for (const int signal : stopSignals) {
         sigaddset(&set, signal);
     }
-    for (const int signal : idleSignals) {
+    for (const int signal : ignoredSignals) {
         sigaddset(&set, signal);
     }
     return set;
@@ -52,11 +52,11 @@
     for (const int signal : stopSignals) {
         m_stops.add(signal);
     }
-    for (const int signal : idleSignals) {
+    for (const int signal : ignoredSignals) {
         m_others.add(signal);
     }
-    // Also undoes a mask that was inherited: a supervisor that holds these signals back for itself and hands its mask
-    // on would leave a node that no signal reaches.
+    // This also removes an inherited signal mask: a supervisor that blocks these signals for itself and passes its mask
+    // on would start a node that no signal reaches.
     const sigset_t set = allSignals();
     sigprocmask(SIG_UNBLOCK, &set, nullptr);
 }
@@ -79,7 +79,7 @@
         if (error) {
             return;
         }
-        // The next wait comes first: a handler that throws must not leave the node deaf to the next signal.
+        // The next wait is registered first, so that the node receives the next signal even if the handler throws.
         waitForNext(signals);
         m_handler(requestOf(signal), signal);
     });
--- a/src/node/processsignals_test.cpp
+++ b/src/node/processsignals_test.cpp
@@ -15,7 +15,7 @@
 
 using Seen = std::vector<std::pair<node::SignalRequest, int>>;
 
-/// A process from its first instruction on, without signals that a case before it left behind.
+/// The signal state of a process at its first instruction, without pending signals of previous test cases.
 struct ProcessSignalsFixture
 {
     ProcessSignalsFixture()
@@ -47,9 +47,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(processSignals, ProcessSignalsFixture)
 
-// A node is told to reload, or to stop, while its libraries are still being initialised. If the default action of the
-// signal holds at that moment, the process is gone, and callers are refused until it is started again.
-BOOST_AUTO_TEST_CASE(signals_raisedBeforeRegistration_reachTheEventLoop)
+// A node receives a reload or stop signal while its libraries are still being initialised. With the default action of
+// the signal, the process would be terminated, and callers would be refused until it is started again.
+BOOST_AUTO_TEST_CASE(signals_raisedBeforeRegistration_reachEventLoop)
 {
     std::raise(SIGHUP);
     std::raise(SIGTERM);
@@ -58,7 +58,7 @@
     BOOST_TEST((seen == Seen{{node::SignalRequest::Stop, SIGTERM}, {node::SignalRequest::Reload, SIGHUP}}));
 }
 
-BOOST_AUTO_TEST_CASE(signals_withoutMeaning_endNothing)
+BOOST_AUTO_TEST_CASE(signals_withoutMeaning_areIgnored)
 {
     for (const int signal : {SIGUSR1, SIGUSR2, SIGALRM}) {
         std::raise(signal);
@@ -66,9 +66,9 @@
     }
 }
 
-// A script in a loop tells a node to reload while somebody stops it. A stop that waited for the end of the flood would
-// end in SIGKILL, with the callers' requests.
-BOOST_AUTO_TEST_CASE(stop_amidAFloodOfReloads_isTakenBeforeTheyAreThrough)
+// A script sends reload signals in a loop while the node is stopped. If the stop were handled only after all reloads,
+// the process would be ended by SIGKILL, and the requests of its callers would be lost.
+BOOST_AUTO_TEST_CASE(stop_duringManyReloads_isHandledBeforeRemainingReloads)
 {
     net::asio::io_context io;
     node::ProcessSignals signals(io);
@@ -82,9 +82,9 @@
     BOOST_TEST((stop - all.begin() < 10));
 }
 
-// A node that has answered everything and is about to end gets one more signal. If the default action holds again by
-// then, a planned stop looks like a crash to whoever watches over the process.
-BOOST_AUTO_TEST_CASE(signals_raisedAfterTheLoop_endNothing)
+// A node that has answered all requests and is about to exit receives another signal. If the default action applied
+// again at that time, the supervisor of the process would see a crash instead of a planned stop.
+BOOST_AUTO_TEST_CASE(signals_raisedAfterEventLoop_areBlocked)
 {
     seenAfterStart();
     std::raise(SIGHUP);
@@ -92,8 +92,9 @@
     BOOST_TEST(seenAfterStart().size() == 2u);
 }
 
-// Supervisors hold signals back for themselves, and a child inherits the mask. A node that keeps it can't be stopped.
-BOOST_AUTO_TEST_CASE(signals_heldBackByTheParent_areLetThrough)
+// Supervisors block signals for themselves, and a child process inherits the mask. A node that kept the mask could not
+// be stopped.
+BOOST_AUTO_TEST_CASE(signals_blockedByParent_areUnblocked)
 {
     net::asio::io_context io;
     const node::ProcessSignals signals(io);
--- a/src/node/refusallog_test.cpp
+++ b/src/node/refusallog_test.cpp
@@ -17,9 +17,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(refusalLog, RefusalLogFixture)
 
-// An overload refuses hundreds of requests a second. A line for each would fill the log with one sentence, and the line
-// of another kind of failure would be dropped.
-BOOST_AUTO_TEST_CASE(refusals_floodOfOneCode_becomeOneSummary)
+// In an overload, hundreds of requests are refused per second. A log line for each of them would fill the log, and the
+// lines of other failures would be dropped.
+BOOST_AUTO_TEST_CASE(refusals_manyOfOneCode_areSummarised)
 {
     int lines = 0;
     for (int i = 0; i < 100; ++i) {
@@ -34,7 +34,7 @@
     BOOST_TEST(summaries[0].requests == "r2,r3,r4");
 }
 
-BOOST_AUTO_TEST_CASE(refusal_ofAnotherCode_hasItsLine)
+BOOST_AUTO_TEST_CASE(refusal_ofOtherCode_hasOwnLine)
 {
     for (int i = 0; i < 100; ++i) {
         log.record(base::ResultCode::HopQueueFull, "full");
@@ -42,7 +42,7 @@
     BOOST_TEST(log.record(base::ResultCode::KeyUnknown, "unknown"));
 }
 
-BOOST_AUTO_TEST_CASE(refusal_inANewPeriod_hasItsLine)
+BOOST_AUTO_TEST_CASE(refusal_inNewPeriod_hasOwnLine)
 {
     for (int i = 0; i < 5; ++i) {
         log.record(base::ResultCode::KeyUnknown, "a");
--- a/src/node/refusals.cpp
+++ b/src/node/refusals.cpp
@@ -13,7 +13,7 @@
 
 constexpr base::Duration defaultRetryAfter = std::chrono::seconds(1);
 
-bool isFinalFor(ResultCode code)
+bool isPermanent(ResultCode code)
 {
     switch (code) {
     case ResultCode::RequestMalformed:
@@ -32,7 +32,8 @@
     }
 }
 
-// A detail may quote bytes of a caller that are no UTF-8; they must not turn a refusal into a broken connection.
+// A detail may quote bytes of a caller that are not valid UTF-8; they are replaced, so that they do not abort the
+// connection instead of sending the refusal.
 std::string utf8(const nlohmann::json &body)
 {
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
@@ -123,7 +124,7 @@
     routing::Refusal refusal;
     refusal.outcome = routing::Outcome::NotRun;
     refusal.code = code;
-    if (isFinalFor(code)) {
+    if (isPermanent(code)) {
         refusal.retryClass = routing::RetryClass::Never;
         return refusal;
     }
--- a/src/node/refusals_test.cpp
+++ b/src/node/refusals_test.cpp
@@ -16,7 +16,7 @@
 
 }
 
-BOOST_AUTO_TEST_CASE(refusal_notRun_saysSoInHeadersAndJson)
+BOOST_AUTO_TEST_CASE(refusal_notRun_isReportedInHeadersAndJson)
 {
     const auto answer = refusalAnswer(notRunRefusal(base::ResultCode::RateExceeded, 1500ms), "id-1", "detail");
     BOOST_TEST(answer.head.result_int() == 429u);
@@ -35,7 +35,7 @@
     BOOST_TEST(body["detail"] == "detail");
 }
 
-BOOST_AUTO_TEST_CASE(refusal_unknown_saysSoInHeadersAndJson)
+BOOST_AUTO_TEST_CASE(refusal_unknown_isReportedInHeadersAndJson)
 {
     const routing::Refusal refusal{
         routing::Outcome::Unknown, base::ResultCode::OutcomeUnknown, routing::RetryClass::AfterCheck, {}};
@@ -50,8 +50,9 @@
     BOOST_TEST(!body.contains("detail"));
 }
 
-// Retry-After has whole seconds. Rounded down, the caller would come back too early and be refused again.
-BOOST_AUTO_TEST_CASE(refusal_withPartOfASecond_roundsRetryAfterUp)
+// Retry-After is given in whole seconds. If it were rounded down, the caller would retry too early and be refused
+// again.
+BOOST_AUTO_TEST_CASE(refusal_withFractionOfSecond_roundsRetryAfterUp)
 {
     for (const auto &[wait, seconds] : {std::pair(1ms, "1"), {1000ms, "1"}, {1001ms, "2"}, {1999ms, "2"}}) {
         const auto answer = refusalAnswer(notRunRefusal(base::ResultCode::RateExceeded, wait), "");
@@ -59,7 +60,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(refusal_thatIsFinal_namesNoTime)
+BOOST_AUTO_TEST_CASE(refusal_permanent_hasNoRetryAfter)
 {
     const auto answer = refusalAnswer(notRunRefusal(base::ResultCode::KeyUnknown, 5s), "");
     BOOST_TEST(answer.head.result_int() == 401u);
--- a/src/node/serverselector.cpp
+++ b/src/node/serverselector.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-/// Servers found ejected after which the next one is to try. With a third of the servers in a spell, four draws in a
-/// row find one by chance in 1 of 81 requests; more often it means that nearly all are.
+/// Number of refusals by ejected servers after which the next server must accept the attempt. If a third of the servers
+/// have a gray failure, four random choices in a row hit such a server in 1 of 81 requests; more often it means that
+/// nearly all servers are ejected.
 constexpr int ejectedBeforeLastResort = 4;
 
 using base::ResultCode;
@@ -95,7 +96,7 @@
         placement.candidate = static_cast<std::size_t>(advised - candidates.begin());
     }
     if (!placement.candidate && m_ejectedRefusals > 0) {
-        // Every server that is left was found ejected; one that may fail is better than none.
+        // Every remaining server was found to be ejected; a server that may fail is better than none.
         request.tried.clear();
         placement = m_context.placement->place(candidates, request, m_context.random);
     }
--- a/src/node/serverselector.h
+++ b/src/node/serverselector.h
@@ -9,7 +9,7 @@
 
 namespace papayastep::node {
 
-/// What a request needs of a server.
+/// The requirements of a request for its server.
 struct ServerRequirements
 {
     base::ServiceId service;
@@ -17,44 +17,46 @@
     base::RouteId route;
     int priority = 0; ///< 0 is the most urgent.
     bool idempotent = false;
-    bool isCall = false; ///< Of a run at a backend server of this VM.
+    bool isCall = false; ///< The request is a call of an attempt that runs at a backend server of this VM.
     base::TimePoint deadline;
-    std::optional<base::TimePoint> targetTime; ///< An answer after it is worth less to the caller.
+    std::optional<base::TimePoint> targetTime; ///< Time after which the answer is worth less to the caller.
 };
 
+/// The server chosen for an attempt.
 struct ChosenServer
 {
     routing::Candidate candidate;
-    std::string_view reason; ///< For the log.
-    bool lastResort = false; ///< Every other one is held back as gray, so this one is to try all the same.
-    bool followsAdvice = false; ///< A sibling named it.
-    std::size_t nodesAsked = 0; ///< Nodes that were asked for a slot.
-    routing::SurveyTally surveyTally; ///< With lastResort: what they said.
-    base::Duration medianLatency{0}; ///< Of the service; 0: not known.
+    std::string_view reason; ///< Reason of the choice, for the log.
+    bool lastResort = false; ///< All other servers are held back as gray, so this server must accept the attempt even
+                             ///< if it is held back.
+    bool followsAdvice = false; ///< The server was suggested by the node of another server.
+    std::size_t nodesAsked = 0; ///< Number of nodes that were asked for a slot.
+    routing::SurveyTally surveyTally; ///< Answers to the survey, logged with lastResort.
+    base::Duration medianLatency{0}; ///< Median latency of the service's servers; 0 if unknown.
 };
 
-/// Why no server was chosen.
+/// The reason why no server was chosen.
 struct NoServer
 {
     base::ResultCode code = base::ResultCode::NoBackendServer;
     base::Duration retryAfter{0};
-    routing::SurveyTally surveyTally{}; ///< Nothing, if nobody was asked.
+    routing::SurveyTally surveyTally{}; ///< Answers to the survey; empty if no node was asked.
 };
 
-/// Finds the server for each attempt of one request, and remembers what became of those before.
+/// Selects the server for each attempt of one request, taking the results of the previous attempts into account.
 class ServerSelector
 {
 public:
     ServerSelector(NodeContext &context, ServingNode &serving, const base::RequestId &request, net::Signal &changed);
 
-    /// Asks the nodes beside some servers, or goes by what is believed, as the settings say. Ends early, with any
-    /// result, once `callerGone` is set.
+    /// Asks the nodes of several servers for free slots, or chooses by local estimates, depending on the settings.
+    /// Returns early, with an arbitrary result, once `callerGone` is set.
     net::Awaitable<std::variant<ChosenServer, NoServer>> choose(const ServerRequirements &need, const bool &callerGone);
 
-    /// An answer to a question of choose().
+    /// Takes an answer to a question of choose().
     void slotOffered(const wire::SlotOffer &offer);
 
-    /// How an attempt at `server` ended. `advice`: the sibling that its node named, or empty.
+    /// Records the result of an attempt at `server`. `advice` is the server that its node suggested instead, or empty.
     void recordResult(const base::BackendServerId &server,
                       const routing::AttemptResult &result,
                       const base::BackendServerId &advice);
@@ -73,10 +75,10 @@
     ServingNode &m_serving;
     const base::RequestId m_request;
     net::Signal &m_changed;
-    std::unique_ptr<routing::SlotSurvey> m_survey; ///< While one is going on.
-    std::vector<base::BackendServerId> m_tried; ///< Not to be asked again.
+    std::unique_ptr<routing::SlotSurvey> m_survey; ///< Null if no survey is running.
+    std::vector<base::BackendServerId> m_tried; ///< Servers that are not asked again.
     base::BackendServerId m_advice;
-    int m_ejectedRefusals = 0; ///< Attempts refused because their server was ejected.
+    int m_ejectedRefusals = 0; ///< Number of attempts that were refused because their server was ejected.
 };
 
 }
--- a/src/node/servingnode.cpp
+++ b/src/node/servingnode.cpp
@@ -14,8 +14,9 @@
 
 using base::ResultCode;
 
-/// Where an answer is wanted by a certain time, three tenths of the time from there to the deadline are still used.
-/// Most of a run must fit before the deadline, or it only takes the slot from another.
+/// Settings of the slot queues. If a request has a target time, three tenths of the time from there to the deadline may
+/// still be used. Most of a run must fit before the deadline, because otherwise it only takes the slot from another
+/// request.
 limits::SlotQueueSettings queueSettings()
 {
     limits::SlotQueueSettings settings;
@@ -25,18 +26,20 @@
     return settings;
 }
 
-/// Entries that sent nothing for so long have likely lost what they knew of the server anyway.
-constexpr base::Duration entryMemory = std::chrono::seconds(5);
-/// Bounds what a notice costs in a large fleet; the other entries find out by a refusal.
-constexpr std::size_t mostNotified = 32;
+/// Time after which an entry that sent no attempt is no longer notified, because its estimate of the server has
+/// probably expired anyway.
+constexpr base::Duration entryRetention = std::chrono::seconds(5);
+/// Maximum number of entries that are notified of a hold, which bounds the cost of a notice in a large fleet. The other
+/// entries learn of the hold by a refusal.
+constexpr std::size_t maxNotifiedEntries = 32;
 
-/// Above it an attempt that hangs is worth running once more elsewhere. Below FailureFilterSettings::surest, which no
-/// belief exceeds.
-constexpr double suspectAbove = 0.85;
-static_assert(suspectAbove < health::FailureFilterSettings().surest);
+/// Probability of a gray failure above which an attempt that hangs is reported to its entry, so that it can be retried
+/// at another server. It must be below FailureFilterSettings::surest, which no estimate exceeds.
+constexpr double hangReportProbability = 0.85;
+static_assert(hangReportProbability < health::FailureFilterSettings().surest);
 
-/// Bounds the ratio of two run times where runs take next to nothing.
-constexpr base::Duration shortestMean = std::chrono::microseconds(1);
+/// Lower bound of a mean run time, which limits the ratio of two run times if runs are very short.
+constexpr base::Duration minMeanRunTime = std::chrono::microseconds(1);
 
 std::int64_t microseconds(base::Duration duration)
 {
@@ -68,7 +71,7 @@
 
 }
 
-/// A backend server of this VM with its queue.
+/// A backend server of this VM and its queue.
 struct ServingNode::LocalServer
 {
     LocalServer(const base::Clock &clock, const config::BackendServer &serverConfiguration)
@@ -79,7 +82,7 @@
     {
     }
 
-    /// How likely the server is in a gray spell, in percent.
+    /// Returns the probability that the server has a gray failure, in percent.
     std::uint8_t grayPercent(base::TimePoint now) const
     {
         return static_cast<std::uint8_t>(100 * hold.grayProbability(now));
@@ -88,14 +91,15 @@
     config::BackendServer configured;
     limits::SlotQueue queue;
     health::ServerHold hold;
-    std::map<base::VmId, base::TimePoint> recentEntries; ///< That sent attempts lately, and when.
-    base::TimePoint lastStart; ///< Of any attempt.
-    int offersSinceStart
-        = 0; ///< Made since then. Tells a server that nobody asks from one that is asked and not chosen.
-    bool removed = false; ///< No longer configured; kept until its attempts have ended.
+    std::map<base::VmId, base::TimePoint>
+        recentEntries; ///< Entries that recently sent attempts, with the time of the last one.
+    base::TimePoint lastStart; ///< Start time of the last attempt.
+    int offersSinceStart = 0; ///< Number of slot offers since lastStart. It distinguishes a server that is not asked
+                              ///< from a server that is asked and not chosen.
+    bool removed = false; ///< The server is no longer configured; it is kept until its attempts have ended.
 };
 
-/// One attempt from its arrival to the end of its answer.
+/// One attempt, from its arrival to the end of its answer.
 struct ServingNode::ActiveAttempt
 {
     ActiveAttempt(net::asio::io_context &io, wire::HopRequest hopRequest, base::TimePoint arrival)
@@ -121,15 +125,15 @@
     net::Signal changed;
     std::optional<limits::QueueDecision> decision;
     std::shared_ptr<net::HttpExchange> exchange;
-    std::function<void()> onHangSuspected; ///< Tells the entry that the server seems to hang.
+    std::function<void()> onHangSuspected; ///< Notifies the entry that the attempt seems to hang.
     AnswerKind answerKind = AnswerKind::Answered;
     bool running = false;
     bool timedOut = false;
-    bool stopped = false; ///< Nobody wants the answer any more.
-    bool overdue = false; ///< Runs for several times the usual.
+    bool stopped = false; ///< The answer is no longer needed.
+    bool overdue = false; ///< The attempt has run for several times the usual run time.
 };
 
-/// The rest of a large answer. Holds the slot of the backend server until its end.
+/// The remaining body of a large answer. It occupies the slot of the backend server until its end.
 class ServingNode::BackendBody final : public AnswerBody
 {
 public:
@@ -189,10 +193,10 @@
 
 net::Awaitable<ServedAnswer> ServingNode::serve(wire::HopRequest hop,
                                                 net::ClientRequest request,
-                                                std::function<void()> suspect)
+                                                std::function<void()> onHangSuspected)
 {
     auto activeAttempt = std::make_shared<ActiveAttempt>(m_context.io, std::move(hop), m_context.clock.now());
-    activeAttempt->onHangSuspected = std::move(suspect);
+    activeAttempt->onHangSuspected = std::move(onHangSuspected);
     auto refused = checkKey(activeAttempt->hop);
     if (!refused) {
         refused = checkServer(activeAttempt->hop.server, activeAttempt->hop.idempotent, activeAttempt->hop.lastResort);
@@ -219,7 +223,7 @@
         const auto retryAfter = activeAttempt->decision ? activeAttempt->decision->retryAfter : base::Duration::zero();
         co_return refusalOf(*activeAttempt, code, retryAfter);
     }
-    // Much may have changed while it waited.
+    // The key and the server are checked again, because they may have changed while the attempt waited.
     refused = checkKey(activeAttempt->hop);
     if (!refused) {
         refused = checkServer(activeAttempt->hop.server, activeAttempt->hop.idempotent, activeAttempt->hop.lastResort);
@@ -278,7 +282,7 @@
     const auto answer = m_registry.cancel({request, attempt}, stamp, base::Duration(cancel.remaining));
     const auto found = m_attempts.find({request, attempt});
     m_context.metrics.countCancel(routing::name(answer));
-    PAPAYASTEP_LOG(INFO, logPrefix) << "Answered a cancel."
+    PAPAYASTEP_LOG(INFO, logPrefix) << "Answered a cancel request."
                                     << base::field("request",
                                                    found != m_attempts.end() ? found->second->hop.shownId()
                                                                              : toString(request))
@@ -305,7 +309,7 @@
     }
     ActiveAttempt &activeAttempt = *found->second;
     if (!activeAttempt.running && !activeAttempt.decision) {
-        // Still queued: whatever it is, nobody waits for it any more.
+        // The attempt is still queued. It can be dropped even if it is not idempotent.
         m_registry.drop({request, attempt});
         findLocalServer(activeAttempt.hop.server)->queue.cancel(activeAttempt.id());
         activeAttempt.stopped = true;
@@ -313,7 +317,7 @@
         return;
     }
     if (!activeAttempt.hop.idempotent) {
-        return; // It has begun and must not be left half done.
+        return; // The attempt has started and must not be stopped halfway.
     }
     activeAttempt.stopped = true;
     if (activeAttempt.exchange) {
@@ -340,8 +344,8 @@
         auto &localServer = m_localServers[server.id];
         if (!localServer) {
             localServer = std::make_unique<LocalServer>(m_context.clock, server);
-            PAPAYASTEP_LOG(INFO, logPrefix)
-                << "Serves a backend server." << base::field("server", server.id) << base::field("slots", server.slots);
+            PAPAYASTEP_LOG(INFO, logPrefix) << "Began to serve a backend server." << base::field("server", server.id)
+                                            << base::field("slots", server.slots);
         }
         localServer->configured = server;
         localServer->queue.setSlots(server.slots);
@@ -386,8 +390,8 @@
         + health::overdueAfter(runs.mean(activeAttempt.hop.route), runs.runs(activeAttempt.hop.route), usual);
 }
 
-/// How long the next run of the route will take. How the server compares with its siblings grows old while it runs
-/// nothing.
+/// Returns the expected time of the next run of the route. The measured speed of the server relative to its siblings
+/// becomes outdated while the server runs no attempts.
 base::Duration ServingNode::expectedRun(const LocalServer &localServer, const base::RouteId &route) const
 {
     const limits::RunTimes &runs = localServer.queue.runTimes();
@@ -398,13 +402,14 @@
     const auto idleSince = localServer.queue.idleSince();
     const base::Duration age = idleSince ? m_context.clock.now() - *idleSince : base::Duration::zero();
     const std::chrono::duration<double> drifted = health::driftedLatency(runs.mean(), usual, age);
-    const double slowness = drifted / std::max(runs.mean(), shortestMean);
+    const double slowness = drifted / std::max(runs.mean(), minMeanRunTime);
     return std::chrono::duration_cast<base::Duration>(runs.mean(route) * slowness);
 }
 
-/// A server that hangs answers nobody, so no failure is seen until the deadlines pass. The age of what runs shows it
-/// sooner; the entry is told, which may run it elsewhere while there is still time. It goes on here: the entry may have
-/// no repeat left, and to break off what may only be slow would lose it.
+/// Detects attempts that hang. A server that hangs sends no answers, so no failure is detected until the deadlines
+/// pass; the age of the running attempts shows it sooner. The entry is notified, so that it can retry the attempt at
+/// another server while there is time left. The attempt continues here, because the entry may have no retry left, and
+/// stopping an attempt that is only slow would lose it.
 void ServingNode::checkOverdueAttempts()
 {
     const auto now = m_context.clock.now();
@@ -417,7 +422,7 @@
         if (localServer->hold.noteOverdue(now) == health::HoldChange::Held) {
             notifyHold(*localServer, "overdue");
         }
-        const bool mayMoveOn = activeAttempt->hop.idempotent
+        const bool mayRetry = activeAttempt->hop.idempotent
             && activeAttempt->deadline - now > localServer->queue.runTimes().mean(activeAttempt->hop.route);
         PAPAYASTEP_LOG(INFO, logPrefix)
             << "An attempt is overdue." << base::field("request", activeAttempt->hop.shownId())
@@ -425,7 +430,7 @@
             << base::field("runMs", milliseconds(now - activeAttempt->started))
             << base::field("usualMs", milliseconds(localServer->queue.runTimes().mean(activeAttempt->hop.route)))
             << base::field("grayPercent", int{localServer->grayPercent(now)});
-        if (mayMoveOn && localServer->hold.grayProbability(now) > suspectAbove) {
+        if (mayRetry && localServer->hold.grayProbability(now) > hangReportProbability) {
             activeAttempt->onHangSuspected();
         }
     }
@@ -489,8 +494,8 @@
     return found != m_localServers.end() ? found->second.get() : nullptr;
 }
 
-// The entry may hold an older configuration in which a withdrawn key still stands. The newer of the two nodes decides:
-// so a key stops as soon as either of them has heard.
+// The entry may have an older configuration that still contains a withdrawn key. The node with the newer configuration
+// decides, so that a key is refused as soon as one of the two nodes has received its withdrawal.
 std::optional<ResultCode> ServingNode::checkKey(const wire::HopRequest &hop) const
 {
     const auto &configuration = m_context.active.configuration;
@@ -544,8 +549,9 @@
     return std::nullopt;
 }
 
-/// A refusal here proves that the request did not run, so that the entry can send it elsewhere at once. On trial the
-/// one request that shows how the server is should be one that may fail.
+/// Whether attempts at this server are refused because it is held back. Such a refusal proves that the request did not
+/// run, so that the entry can send it to another server immediately. The trial request that shows the state of the
+/// server should be idempotent, so that it may fail.
 bool ServingNode::isHeldBack(const LocalServer &localServer, bool idempotent) const
 {
     return !localServer.hold.admits(idempotent, m_context.clock.now());
@@ -672,28 +678,29 @@
 void ServingNode::recordEntry(LocalServer &localServer, const base::VmId &entry)
 {
     const auto now = m_context.clock.now();
-    if (localServer.recentEntries.size() >= mostNotified) {
-        std::erase_if(localServer.recentEntries, [&](const auto &known) { return now - known.second > entryMemory; });
+    if (localServer.recentEntries.size() >= maxNotifiedEntries) {
+        std::erase_if(localServer.recentEntries,
+                      [&](const auto &known) { return now - known.second > entryRetention; });
     }
     if (entry != m_context.settings.vm
-        && (localServer.recentEntries.size() < mostNotified || localServer.recentEntries.contains(entry))) {
+        && (localServer.recentEntries.size() < maxNotifiedEntries || localServer.recentEntries.contains(entry))) {
         localServer.recentEntries[entry] = now;
     }
 }
 
-/// Tells the entries that lately used the server, so that each need not find out by a refusal.
+/// Notifies the entries that recently used the server of its hold, so that they need not learn of it by a refusal.
 void ServingNode::notifyHold(const LocalServer &localServer, std::string_view evidence)
 {
     const auto now = m_context.clock.now();
     const base::BackendServerId &server = localServer.configured.id;
     m_context.gray.note(server, localServer.hold.grayProbability(now));
     m_context.metrics.countHold(localServer.configured.service, evidence);
-    PAPAYASTEP_LOG(INFO, logPrefix) << "Holds a backend server back." << base::field("server", server)
+    PAPAYASTEP_LOG(INFO, logPrefix) << "Held back a backend server." << base::field("server", server)
                                     << base::field("evidence", evidence)
                                     << base::field("grayPercent", int{localServer.grayPercent(now)});
     const health::GrayNotice notice{server.value(), localServer.grayPercent(now)};
     for (const auto &[entry, seen] : localServer.recentEntries) {
-        if (now - seen <= entryMemory) {
+        if (now - seen <= entryRetention) {
             m_context.send(wire::outgoing(entry, wire::MessageKind::GrayNotice, notice));
         }
     }
@@ -706,7 +713,7 @@
     const auto now = m_context.clock.now();
     const bool timedOut = outcome == health::AttemptOutcome::Timeout;
     if (timedOut && (activeAttempt.overdue || m_pauses.stoodStillSince(activeAttempt.started))) {
-        // Counted when it became overdue, or the time has passed while this process stood still.
+        // The failure was counted when the attempt became overdue, or the timeout passed while this process was paused.
         outcome = health::AttemptOutcome::CancelledByUs;
     }
     switch (localServer.hold.ended(activeAttempt.healthKey(), outcome, now)) {
@@ -757,7 +764,8 @@
         return answer;
     }
 
-    // Not a byte was written before the connection stood, so this alone of the failures proves that nothing ran.
+    // No byte is written before the connection is established, so this is the only failure that proves that nothing
+    // ran.
     const bool neverSent = exchange.progress() == net::ExchangeProgress::Connecting;
     auto outcome = neverSent ? health::AttemptOutcome::ConnectionRefused : health::AttemptOutcome::Partial;
     auto code = neverSent ? ResultCode::HopBackendServerRefused : ResultCode::AnswerIncomplete;
@@ -776,7 +784,8 @@
     answer.reply = replyOf(*activeAttempt);
     answer.reply.outcome = static_cast<std::uint8_t>(wire::HopOutcome::Unknown);
     answer.reply.code = number(code);
-    PAPAYASTEP_LOG(WARNING, logPrefix) << "Got no whole answer." << base::field("request", activeAttempt->hop.shownId())
+    PAPAYASTEP_LOG(WARNING, logPrefix) << "Received no complete answer."
+                                       << base::field("request", activeAttempt->hop.shownId())
                                        << base::field("server", activeAttempt->hop.server)
                                        << base::field("code", number(code));
     return answer;
@@ -788,13 +797,13 @@
     if (outcome != health::AttemptOutcome::Error || !m_runCalls.explainsFailure(activeAttempt.healthKey())) {
         return outcome;
     }
-    PAPAYASTEP_LOG(INFO, logPrefix) << "A run failed because its call did."
+    PAPAYASTEP_LOG(INFO, logPrefix) << "An attempt failed because a call that it made failed."
                                     << base::field("request", activeAttempt.hop.shownId())
                                     << base::field("server", activeAttempt.hop.server);
     return health::AttemptOutcome::CallFailed;
 }
 
-/// The backend server itself says that it did not run the attempt, which is proof.
+/// Returns the refusal for an attempt that the backend server itself reports as not run, which proves it.
 ServedAnswer ServingNode::refusedByServer(const ActiveAttemptPtr &activeAttempt)
 {
     const bool otherServer = activeAttempt->answerKind == AnswerKind::OtherServer;
@@ -805,7 +814,7 @@
 
 ServedAnswer ServingNode::refusalOf(const ActiveAttempt &activeAttempt, ResultCode code, base::Duration retryAfter)
 {
-    // A replay says nothing about what the first copy did, so it is the one refusal that is not a `not-run`.
+    // A replay proves nothing about the first copy, so it is the only refusal whose outcome is not `not-run`.
     const bool replayed = code == ResultCode::HopReplayed;
     ServedAnswer answer;
     answer.reply = replyOf(activeAttempt);
@@ -818,7 +827,7 @@
     return answer;
 }
 
-/// With what the decision went by: the server's queue and how gray it was taken for.
+/// Logs a refusal with the inputs of the decision: the queue of the server and the probability of a gray failure.
 void ServingNode::logRefusal(const ActiveAttempt &activeAttempt, const wire::HopReply &reply) const
 {
     const auto found = m_localServers.find(activeAttempt.hop.server);
@@ -859,8 +868,9 @@
     return reply;
 }
 
-// An entry of a large fleet sees a service too seldom to know its servers well; this node hears of its siblings every
-// second. So a refusal names the sibling that should be asked next, and the entry need not guess again.
+// An entry of a large fleet sends too few requests to a service to estimate its servers well, whereas this node
+// receives the state of the sibling servers every second. So a refusal names the sibling that should be tried next, and
+// the entry need not choose by its own estimates again.
 base::BackendServerId ServingNode::advise(const ActiveAttempt &activeAttempt)
 {
     const auto &configuration = m_context.active.configuration;
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -27,7 +27,7 @@
 using Json = nlohmann::json;
 using base::ResultCode;
 
-/// The pointer that valijson gives as `<root>[listen][caller]`, in the form of RFC 6901.
+/// Converts a location that valijson reports as `<root>[listen][caller]` to a JSON pointer (RFC 6901).
 std::string pointerOf(const std::string &context)
 {
     std::string pointer;
@@ -70,7 +70,8 @@
     }
 }
 
-/// Where the file has no object at `pointer`'s parent, nothing is set: the schema then names the wrong member.
+/// Sets the member at `pointer` to a value that is not empty. If the file has something other than an object at the
+/// parent of `pointer`, nothing is set; the schema check then reports the wrong member.
 void override(Json &document, const Json::json_pointer &pointer, const std::string &value)
 {
     const auto parent = pointer.parent_pointer();
@@ -113,18 +114,18 @@
     return std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(value.get<double>()));
 }
 
-/// Whoever stops a node from outside states one time for all of it: it is cut into the announcement, the wait for
-/// requests in flight, and a rest for the process to end by itself.
+/// Reads the total time of a planned stop, as given by the program that stops the node. It is divided into the time of
+/// the announcement, the time to wait for requests in flight, and a reserve for the process to exit.
 void readStopTime(const Json &document, NodeSettings &settings)
 {
-    constexpr base::Duration rest = std::chrono::milliseconds(800);
-    constexpr double announcePart = 0.4;
+    constexpr base::Duration exitReserve = std::chrono::milliseconds(800);
+    constexpr double announceShare = 0.4;
     if (!document.contains("stopWithinS")) {
         return;
     }
-    const base::Duration all = secondsOf(document["stopWithinS"]) - rest;
-    settings.announceFirst = std::chrono::duration_cast<base::Duration>(all * announcePart);
-    settings.drainTimeout = all - settings.announceFirst;
+    const base::Duration available = secondsOf(document["stopWithinS"]) - exitReserve;
+    settings.announceFirst = std::chrono::duration_cast<base::Duration>(available * announceShare);
+    settings.drainTimeout = available - settings.announceFirst;
 }
 
 net::ServerLimits readLimits(const Json &document)
@@ -229,7 +230,7 @@
         return m_descriptor >= 0 && ::fstat(m_descriptor, &status) == 0 && S_ISREG(status.st_mode);
     }
 
-    /// Appends the next bytes. Returns how many, 0 at the end, -1 with errno set.
+    /// Appends the next bytes of the file. Returns their number, 0 at the end of the file, or -1 with errno set.
     ssize_t readInto(std::string &text) const
     {
         char part[4096];
@@ -242,14 +243,15 @@
     const int m_descriptor;
 };
 
-// Files are read in the thread that serves requests. To open a pipe waits until somebody writes to it, so a path that
-// became one would hang the node with all its callers while its process looks alive. Opening without waiting and
-// asking what was opened keeps that from happening, also where the path changes in between.
+// Files are read in the thread that serves requests. Opening a named pipe blocks until another process opens it for
+// writing, so a path that has become a pipe would block the node and all its callers while its process seems to run.
+// The file is therefore opened without blocking, and its type is checked on the open descriptor, so that a change of
+// the path in between has no effect.
 std::string readFile(const std::string &path, ResultCode code)
 {
     const OpenFile file(path);
     if (!file.isRegular()) {
-        throw base::Error(code, path + " is no regular file that can be opened");
+        throw base::Error(code, path + " is not a regular file that can be opened");
     }
     std::string text;
     ssize_t got = 0;
@@ -281,7 +283,8 @@
     }
     if (secret.size() < minSecretBytes) {
         throw base::Error(ResultCode::SettingsSecretMissing,
-                          "give at least 16 bytes in secretFile or " + std::string(secretEnvironmentVariable));
+                          "the secret must have at least 16 bytes; set secretFile or "
+                              + std::string(secretEnvironmentVariable));
     }
     return secret;
 }
--- a/src/node/settings_test.cpp
+++ b/src/node/settings_test.cpp
@@ -39,7 +39,7 @@
     {
         try {
             parseSettings(settings.dump(), "node.json", overrides);
-            BOOST_ERROR("was taken: " << settings);
+            BOOST_ERROR("accepted invalid settings: " << settings);
         } catch (const base::Error &error) {
             BOOST_TEST((error.code() == base::ResultCode::SettingsSchema));
             BOOST_TEST(error.location().file == "node.json");
@@ -69,7 +69,7 @@
     BOOST_TEST(settings.ejection);
 }
 
-BOOST_FIXTURE_TEST_CASE(settings_withBadMember_nameItsPlace, SettingsFixture)
+BOOST_FIXTURE_TEST_CASE(settings_withInvalidMember_reportItsLocation, SettingsFixture)
 {
     refuses(with("/listen/caller", "localhost:1"), "/listen/caller");
     refuses(with("/listen/hop", "127.0.0.1:65536"), "/listen/hop");
@@ -91,7 +91,7 @@
     });
 }
 
-BOOST_FIXTURE_TEST_CASE(settings_withOverrides_takeThem, SettingsFixture)
+BOOST_FIXTURE_TEST_CASE(settings_withOverrides_areOverridden, SettingsFixture)
 {
     overrides.vm = "vm-9";
     overrides.hop = "127.0.0.1:90";
@@ -102,15 +102,15 @@
     BOOST_TEST(settings.platform.size() == 2u);
 }
 
-// The file has a text where the listen object belongs, and the command line sets one of its members. The start ended
-// with an exception of the JSON library, without number or place.
-BOOST_FIXTURE_TEST_CASE(settings_withOverrideIntoNoObject_nameThePlace, SettingsFixture)
+// The file contains a string instead of the listen object, and the command line sets a member of it. Guards against a
+// start that ends with an exception of the JSON library, without result code and location.
+BOOST_FIXTURE_TEST_CASE(settings_withOverrideInsideString_reportLocation, SettingsFixture)
 {
     overrides.caller = "127.0.0.1:90";
     refuses(with("/listen", "127.0.0.1:1"), "/listen");
 }
 
-BOOST_FIXTURE_TEST_CASE(settings_fromFiles_needALongSecret, SettingsFixture)
+BOOST_FIXTURE_TEST_CASE(settings_fromFiles_requireSecretOf16Bytes, SettingsFixture)
 {
     const auto isMissing
         = [](const base::Error &error) { return error.code() == base::ResultCode::SettingsSecretMissing; };
@@ -128,7 +128,7 @@
 
 namespace {
 
-/// Settings whose file or secret is a named pipe that nobody writes to.
+/// Settings whose file or secret is a named pipe without a writer.
 struct NamedPipeFixture : SettingsFixture
 {
     NamedPipeFixture()
@@ -136,7 +136,8 @@
         BOOST_REQUIRE(::mkfifo(pipe.c_str(), S_IRUSR | S_IWUSR) == 0);
     }
 
-    /// The code with which `path` is refused; nothing if it is taken, or still being read after a generous time.
+    /// Returns the result code with which `path` is refused, or no value if it is accepted or still being read after
+    /// 10 seconds.
     std::optional<base::ResultCode> refusalOf(const std::string &path) const
     {
         auto reading = std::async(std::launch::async, [this, path]() -> std::optional<base::ResultCode> {
@@ -148,7 +149,7 @@
             return std::nullopt;
         });
         const bool inTime = reading.wait_for(std::chrono::seconds(10)) == std::future_status::ready;
-        // Ends a reader that waits for a writer, so that the test ends too.
+        // Opening the pipe for writing ends a reader that waits for a writer, so that the test ends too.
         const int writer = ::open(pipe.c_str(), O_WRONLY | O_NONBLOCK);
         if (writer >= 0) {
             ::close(writer);
@@ -162,14 +163,15 @@
 
 }
 
-// A tool that hands out settings or secrets puts a named pipe where the file was and goes away. The node reads files in
-// its only thread: at a reload it stops answering all its callers while its process looks alive, and nothing is logged.
-BOOST_FIXTURE_TEST_CASE(settings_pipeNobodyWritesTo_isRefusedAtOnce, NamedPipeFixture)
+// A tool that distributes settings or secrets replaces the file by a named pipe and exits. The node reads files in its
+// only thread, so a read that blocks at a reload would stop the answers to all callers while the process seems to run,
+// and nothing would be logged.
+BOOST_FIXTURE_TEST_CASE(settings_pipeWithoutWriter_isRefusedImmediately, NamedPipeFixture)
 {
     BOOST_TEST((refusalOf(pipe) == base::ResultCode::SettingsUnreadable));
 }
 
-BOOST_FIXTURE_TEST_CASE(secret_pipeNobodyWritesTo_isRefusedAtOnce, NamedPipeFixture)
+BOOST_FIXTURE_TEST_CASE(secret_pipeWithoutWriter_isRefusedImmediately, NamedPipeFixture)
 {
     overrides.secretFile = pipe;
     BOOST_TEST((refusalOf(write("node.json", good.dump())) == base::ResultCode::SettingsSecretMissing));
--- a/src/node/settingsreloader_test.cpp
+++ b/src/node/settingsreloader_test.cpp
@@ -50,7 +50,7 @@
     BOOST_TEST(!settingsReloader.reloadIfChanged().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(settings_newTimeAndAddress_onlyTimeIsTakenOver)
+BOOST_AUTO_TEST_CASE(settings_newTimeoutAndAddress_onlyTimeoutIsApplied)
 {
     const auto running = settingsReloader.load();
     write(2000, 9);
@@ -62,9 +62,9 @@
     BOOST_TEST(settings.caller.port == 1);
 }
 
-// Somebody edits the file of a running node and leaves a comma out. The node must say so and go on as it was; if it
-// ended, its callers and its backend server would be cut off by a slip of the keyboard.
-BOOST_AUTO_TEST_CASE(settings_brokenText_areRefusedOnce)
+// The settings file of a running node is edited and contains a syntax error. The node must report it and keep its
+// settings; if it ended, a typing error would disconnect its callers and its backend server.
+BOOST_AUTO_TEST_CASE(settings_invalidText_areRefusedOnce)
 {
     settingsReloader.load();
     std::ofstream(path) << "{\"vm\": ";
