--- a/src/include/papayastep/node/configurationfetcher.h
+++ b/src/include/papayastep/node/configurationfetcher.h
@@ -24,7 +24,7 @@
     /// Makes both loops check for a due call, because the decisions of ConfigSpread may have changed.
     void wake();
 
-    /// Time of the request to which the platform last confirmed the active VM list.
+    /// Time of the last request to which the platform answered with the active VM list or confirmed it as unchanged.
     base::TimePoint vmListRequestedAt() const;
 
 private:
--- a/src/include/papayastep/node/node.h
+++ b/src/include/papayastep/node/node.h
@@ -22,6 +22,7 @@
 
 /// The states of a node; src/node/node.json defines the state chart.
 enum class NodeState { Starting, Serving, Draining, Stopped };
+/// The events of the state chart.
 enum class NodeEvent { Configured, StopRequested, Drained, DrainTimedOut };
 
 /// A whole node: connects the packages that make the decisions with sockets and timers. It runs in one thread, except
--- a/src/include/papayastep/node/nodecontext.h
+++ b/src/include/papayastep/node/nodecontext.h
@@ -37,7 +37,7 @@
     NodeContext(net::asio::io_context &ioContext,
                 const base::Clock &systemClock,
                 NodeSettings nodeSettings,
-                Interfaces outside,
+                Interfaces nodeInterfaces,
                 std::uint64_t seed);
 
     const CallerProtocol &callers() const;
--- a/src/include/papayastep/node/peermessenger.h
+++ b/src/include/papayastep/node/peermessenger.h
@@ -20,7 +20,7 @@
 
     PeerMessenger(NodeContext &context, Receiver receiver);
 
-    /// Sends a message. Drops it if the endpoint of the VM is unknown.
+    /// Sends a message. Drops it if the endpoint of the VM is unknown or if the VM is the node's own.
     void send(const wire::Outgoing &message);
     void sweep();
 
--- a/src/include/papayastep/node/refusallog.h
+++ b/src/include/papayastep/node/refusallog.h
@@ -10,6 +10,7 @@
 
 namespace papayastep::node {
 
+/// The limits of a RefusalLog.
 struct RefusalLogSettings
 {
     /// Maximum number of refusals per result code that are logged on a line of their own in each period. This is enough
--- a/src/node/nodecontext.cpp
+++ b/src/node/nodecontext.cpp
@@ -67,12 +67,12 @@
 NodeContext::NodeContext(net::asio::io_context &ioContext,
                          const base::Clock &systemClock,
                          NodeSettings nodeSettings,
-                         Interfaces outside,
+                         Interfaces nodeInterfaces,
                          std::uint64_t seed)
     : io(ioContext)
     , clock(systemClock)
     , settings(std::move(nodeSettings))
-    , interfaces(std::move(outside))
+    , interfaces(std::move(nodeInterfaces))
     , incarnation(std::mt19937_64(seed)())
     , random(seed)
     , hopCodec(settings.secret)
