--- a/src/include/papayastep/routing/attemptregistry.h
+++ b/src/include/papayastep/routing/attemptregistry.h
@@ -13,6 +13,7 @@
 /// The serving node's record of attempts, by which it can guarantee that a cancelled attempt never starts.
 namespace papayastep::routing {
 
+/// Identifies an attempt: the request and the number of the attempt.
 struct AttemptId
 {
     base::RequestId request;
@@ -21,11 +22,13 @@
     auto operator<=>(const AttemptId &) const = default;
 };
 
+/// Hash function for AttemptId.
 struct AttemptIdHash
 {
     std::size_t operator()(const AttemptId &id) const noexcept;
 };
 
+/// The result of the registration of an attempt, with the code and the outcome of the refusal.
 enum class RegistrationResult {
     Accepted,
     Replayed, ///< The same attempt arrived before; what became of it is not reported (HopReplayed, outcome unknown).
@@ -34,6 +37,7 @@
     Full, ///< The registry has no room to record it (HopQueueFull, not-run).
 };
 
+/// The result of a registration and the deadline of the attempt.
 struct AttemptRegistration
 {
     RegistrationResult result = RegistrationResult::Full;
@@ -42,6 +46,7 @@
     auto operator<=>(const AttemptRegistration &) const = default;
 };
 
+/// The answer of a serving node to a cancel.
 enum class CancelAnswer {
     NeverStarted, ///< The attempt has not started and never will.
     Started,
@@ -52,6 +57,7 @@
 
 std::string_view name(CancelAnswer answer);
 
+/// Limits of an AttemptRegistry.
 struct AttemptRegistrySettings
 {
     std::size_t capacity = 100'000; ///< Largest number of records, of open and past attempts together.
--- a/src/include/papayastep/routing/grayserverpolicy.h
+++ b/src/include/papayastep/routing/grayserverpolicy.h
@@ -15,7 +15,8 @@
     double unknownOutcomeCost = 1;
 };
 
-/// Decides whether to send a request to a server that may be in a gray failure or to refuse the request.
+/// Decides whether to send a request to a server that may be in a gray failure or to refuse the request. In a gray
+/// failure, a server fails a part of its requests.
 ///
 /// It is used in overloads in which every server that is not held back is full. A refusal has no value for the caller,
 /// but its outcome is certain. A failure costs little for a request that can be repeated; for any other request it
--- a/src/include/papayastep/routing/idempotencyledger.h
+++ b/src/include/papayastep/routing/idempotencyledger.h
@@ -12,6 +12,7 @@
 
 namespace papayastep::routing {
 
+/// Limits and times of the idempotency ledger, at homes and entries.
 struct LedgerSettings
 {
     std::size_t maxBytes = 8u << 20; ///< Limit for all records together.
--- a/src/include/papayastep/routing/ledgerclient.h
+++ b/src/include/papayastep/routing/ledgerclient.h
@@ -6,6 +6,7 @@
 
 namespace papayastep::routing {
 
+/// A request with an idempotency key, as the entry claims it.
 struct ClaimRequest
 {
     base::RequestId request;
--- a/src/include/papayastep/routing/ledgermessages.h
+++ b/src/include/papayastep/routing/ledgermessages.h
@@ -25,6 +25,7 @@
     MSGPACK_DEFINE(status, headers, body)
 };
 
+/// The state of the request in a ledger record.
 enum class RecordState : std::uint8_t {
     Running, ///< An entry received the verdict Run and has not reported the end of the run.
     Answered,
@@ -68,6 +69,7 @@
     MSGPACK_DEFINE(request.high, request.low, workspace, service, key, digest, keyTime, remaining, retention, revision)
 };
 
+/// The decision of a home on a claim.
 enum class ClaimVerdict : std::uint8_t {
     Run,
     Answer, ///< The request has run, and its answer is included.
@@ -176,6 +178,7 @@
     MSGPACK_DEFINE(service, incarnation, part, last, records, lostAgo, vms, receiver)
 };
 
+/// Acknowledgement of a part of a hand-over.
 struct LedgerHandOverResult
 {
     base::ServiceId service;
--- a/src/include/papayastep/routing/placement.h
+++ b/src/include/papayastep/routing/placement.h
@@ -38,6 +38,7 @@
     auto operator<=>(const Candidate &) const = default;
 };
 
+/// The properties of a request that matter for its placement.
 struct PlacementRequest
 {
     base::ZoneId zone; ///< Availability zone of the node that places the request.
@@ -49,6 +50,7 @@
     auto operator<=>(const PlacementRequest &) const = default;
 };
 
+/// The reason for the choice of a server.
 enum class PlacementReason {
     BetterOfTwo,
     SameZone, ///< The other of two servers was no better and is in another zone.
@@ -81,6 +83,7 @@
     std::string note; ///< The reason why it is not eligible, or empty.
 };
 
+/// The scores of all candidates, and one sentence about the choice.
 struct PlacementExplanation
 {
     std::vector<ScoredCandidate> candidates;
@@ -121,6 +124,7 @@
                     std::mt19937_64 &random) const override;
 };
 
+/// Settings of TwoChoicePlacement.
 struct TwoChoiceSettings
 {
     /// Fraction by which a server of the same zone may be worse than one of another zone and still be chosen.
@@ -167,6 +171,7 @@
     TwoChoiceSettings m_settings;
 };
 
+/// Settings of chooseHandOverTarget().
 struct HandOverSettings
 {
     double factor = 2; ///< Factor by which the sibling's expected time must be shorter.
@@ -174,6 +179,7 @@
     base::Duration staleAfter = std::chrono::seconds(2); ///< Age from which a sibling's figures are not used.
 };
 
+/// The properties of a queued request that matter for a hand-over.
 struct HandOverRequest
 {
     bool handedOverBefore = false; ///< A request is handed over at most once, so that it does not go from node to node.
--- a/src/include/papayastep/routing/requestmachine.h
+++ b/src/include/papayastep/routing/requestmachine.h
@@ -5,6 +5,7 @@
 /// The states of a request at its entry, as defined by the state chart src/routing/request.json.
 namespace papayastep::routing {
 
+/// The states of a request, in the order of their names in requestChart().
 enum class RequestState {
     Received,
     Admitted, ///< The request has a token and waits for placement.
@@ -17,6 +18,7 @@
     Unknown, ///< The caller was told that the outcome is unknown.
 };
 
+/// The events of a request, in the order of their names in requestChart().
 enum class RequestEvent {
     Admit,
     Claim,
--- a/src/include/papayastep/routing/retrybudget.h
+++ b/src/include/papayastep/routing/retrybudget.h
@@ -9,6 +9,7 @@
 
 namespace papayastep::routing {
 
+/// Settings of the retry budget of one node.
 struct RetryBudgetSettings
 {
     double share = 0.2; ///< Retries allowed per first attempt, on average.
--- a/src/include/papayastep/routing/retrypolicy.h
+++ b/src/include/papayastep/routing/retrypolicy.h
@@ -31,6 +31,7 @@
 
 std::string_view name(AttemptEvent event);
 
+/// An event of an attempt, with what the other side reported.
 struct AttemptResult
 {
     AttemptEvent event = AttemptEvent::Complete;
@@ -40,6 +41,7 @@
     auto operator<=>(const AttemptResult &) const = default;
 };
 
+/// The action of the node after an event.
 enum class RetryAction {
     AnswerCaller, ///< Forward the backend server's own answer.
     RetryElsewhere, ///< Make another attempt on a server not tried yet, which costs a token.
@@ -51,6 +53,7 @@
 
 std::string_view name(RetryAction action);
 
+/// The decision of RetryPolicy after an event.
 struct RetryDecision
 {
     RetryAction action = RetryAction::Refuse;
@@ -78,6 +81,7 @@
     auto operator<=>(const RequestProgress &) const = default;
 };
 
+/// Limits and timeouts of RetryPolicy.
 struct RetrySettings
 {
     /// Limit for the attempts of one request sent to serving nodes. Most are refused before they reach a backend
--- a/src/include/papayastep/routing/routetable.h
+++ b/src/include/papayastep/routing/routetable.h
@@ -19,6 +19,7 @@
 /// Returns the service of one request of `route`, drawn by the weights if the route is split.
 base::ServiceId chooseService(const config::Route &route, std::mt19937_64 &random);
 
+/// The route of a request.
 struct RouteMatch
 {
     const config::Route *route = nullptr; ///< Valid as long as the table.
--- a/src/include/papayastep/routing/slotsurvey.h
+++ b/src/include/papayastep/routing/slotsurvey.h
@@ -23,9 +23,10 @@
     auto operator<=>(const SlotQuote &) const = default;
 };
 
+/// Limits, timeouts and cost tolerances of a survey.
 struct SlotSurveySettings
 {
-    /// Number of servers asked first: the best by cost. At moderate load, one of two nearly always has a free slot.
+    /// Number of servers asked first: those that seem best. At moderate load, one of two nearly always has a free slot.
     std::size_t firstWave = 2;
     /// Number of servers asked in each later wave. Of four servers that are each busy nine times in ten, one is free in
     /// a third of the cases; asking all at once would cost a large service's nodes more than the slot is worth.
@@ -86,7 +87,8 @@
     auto operator<=>(const SurveyStep &) const = default;
 };
 
-/// Finds the server for one request by asking the nodes beside the candidates, in waves, what they would do with it.
+/// Finds the server for one request by asking the nodes beside some of the candidates, in waves, what they would do
+/// with it.
 ///
 /// An entry has only the queue length from its own last answer of a server, which in a fleet of many entries is seconds
 /// old. With such figures, a request in an overload would be sent from one full server to the next until much of its
