--- a/src/node/serverselector.cpp
+++ b/src/node/serverselector.cpp
@@ -172,7 +172,7 @@
 {
     for (const std::size_t index : m_survey->silent(m_context.clock.now())) {
         const base::VmId &vm = m_survey->candidate(index).vm;
-        if (m_context.silence.recordSilentNodes(vm)) {
+        if (m_context.silence.noteSilent(vm)) {
             PAPAYASTEP_LOG(INFO, "health") << "A node does not answer." << base::field("vm", vm);
         }
     }
--- a/src/node/servingnode.cpp
+++ b/src/node/servingnode.cpp
@@ -604,7 +604,7 @@
 
 net::Awaitable<void> ServingNode::runOnBackend(ActiveAttemptPtr activeAttempt, net::ClientRequest request)
 {
-    const config::BackendServer &server = findLocalServer(activeAttempt->hop.server)->server;
+    const config::BackendServer &server = findLocalServer(activeAttempt->hop.server)->configured;
     const net::Endpoint endpoint{server.address, server.port};
     activeAttempt->started = m_context.clock.now();
     activeAttempt->running = true;
