--- a/src/health/assessment.cpp
+++ b/src/health/assessment.cpp
@@ -22,7 +22,7 @@
 class Assessor
 {
 public:
-    Assessor(const Knowledge &knowledge, const base::ServiceId &service, base::TimePoint now)
+    Assessor(const HealthState &knowledge, const base::ServiceId &service, base::TimePoint now)
         : m_knowledge(knowledge)
         , m_service(service)
         , m_now(now)
@@ -50,16 +50,16 @@
     }
 
 private:
-    const Belief *belief(const base::BackendServerId &id) const
+    const RemoteServer *belief(const base::BackendServerId &id) const
     {
-        const auto found = m_knowledge.beliefs.find(id);
-        return found != m_knowledge.beliefs.end() ? &found->second : nullptr;
+        const auto found = m_knowledge.remoteServers.find(id);
+        return found != m_knowledge.remoteServers.end() ? &found->second : nullptr;
     }
 
-    const OwnServer *own(const base::BackendServerId &id) const
+    const LocalServer *own(const base::BackendServerId &id) const
     {
-        const auto found = m_knowledge.own.find(id);
-        return found != m_knowledge.own.end() ? &found->second : nullptr;
+        const auto found = m_knowledge.localServers.find(id);
+        return found != m_knowledge.localServers.end() ? &found->second : nullptr;
     }
 
     bool silent(const config::BackendServer &server) const
@@ -75,10 +75,10 @@
 
     ServerState state(const base::BackendServerId &id) const
     {
-        if (const OwnServer *beside = own(id)) {
+        if (const LocalServer *beside = own(id)) {
             return beside->lifecycle().state();
         }
-        const Belief *told = belief(id);
+        const RemoteServer *told = belief(id);
         return told != nullptr ? told->state : ServerState::Healthy;
     }
 
@@ -88,9 +88,9 @@
         if (m_serves) {
             return std::nullopt;
         }
-        const auto heard = m_knowledge.entry.heardEjected(m_service, server.vm, shortHash(server.id.value()), m_now);
-        const Belief *told = belief(server.id);
-        const bool spokeSince = heard && told != nullptr && told->heardAt && *told->heardAt > *heard;
+        const auto heard = m_knowledge.entry.reportedEjected(m_service, server.vm, shortHash(server.id.value()), m_now);
+        const RemoteServer *told = belief(server.id);
+        const bool spokeSince = heard && told != nullptr && told->receivedAt && *told->receivedAt > *heard;
         return spokeSince ? std::nullopt : heard;
     }
 
@@ -102,16 +102,16 @@
     SiblingCondition condition(const config::BackendServer &server) const
     {
         SiblingCondition result{server.id, server.slots};
-        if (const OwnServer *beside = own(server.id)) {
+        if (const LocalServer *beside = own(server.id)) {
             result = beside->condition();
-        } else if (const Belief *told = belief(server.id)) {
+        } else if (const RemoteServer *told = belief(server.id)) {
             result.gone = told->state == ServerState::Draining || told->state == ServerState::Gone;
-            result.sick = told->sick;
+            result.unhealthy = told->unhealthy;
             result.ejected = told->state == ServerState::Ejected || told->state == ServerState::Trial;
             result.severity = told->severity;
         }
         if (saidEjected(server)) {
-            result.sick = true;
+            result.unhealthy = true;
             result.ejected = true;
         }
         result.gone = result.gone || server.drain || leaves(server) || silent(server);
@@ -124,7 +124,7 @@
         for (SiblingCondition &server : conditions) {
             const EntryEvidence *seen = m_knowledge.entry.server(server.id);
             server.gone = server.gone || m_result.plan.ejected.contains(server.id);
-            server.sick = seen != nullptr && seen->weight() < 1;
+            server.unhealthy = seen != nullptr && seen->weight() < 1;
             server.ejected = false;
             server.severity = seen != nullptr ? static_cast<int>(1000 * seen->failureShare()) : 0;
         }
@@ -135,7 +135,7 @@
     {
         std::vector<std::uint8_t> steps;
         for (const config::BackendServer *server : m_servers) {
-            const Belief *told = belief(server->id);
+            const RemoteServer *told = belief(server->id);
             if (told != nullptr && told->latencySteps > 0) {
                 steps.push_back(told->latencySteps);
             }
@@ -189,28 +189,28 @@
     /// An unreachable sibling counts as gone in the plan, which therefore says nothing about it.
     bool ejectedWhenLastHeard(const config::BackendServer &server, ServerState current) const
     {
-        const Belief *told = belief(server.id);
-        return silent(server) && current == ServerState::Ejected && told != nullptr && told->heardAt
-            && m_now - *told->heardAt < freshEjection;
+        const RemoteServer *told = belief(server.id);
+        return silent(server) && current == ServerState::Ejected && told != nullptr && told->receivedAt
+            && m_now - *told->receivedAt < freshEjection;
     }
 
     void addWeight(ServerView &view, const config::BackendServer &server, ServerState current) const
     {
         const HealthSettings &settings = m_knowledge.settings;
-        const Belief *told = belief(server.id);
+        const RemoteServer *told = belief(server.id);
         view.reason = "It is healthy.";
-        if (const OwnServer *beside = own(server.id)) {
-            view.weight = std::max(beside->lifecycle().weight(m_now), settings.warmWeight);
+        if (const LocalServer *beside = own(server.id)) {
+            view.weight = std::max(beside->lifecycle().weight(m_now), settings.warmingStartWeight);
         } else if (told != nullptr && current == ServerState::Warming) {
-            const double share = std::chrono::duration<double>(m_now - told->stateSince) / settings.warmTime;
-            view.weight = std::clamp(share, settings.warmWeight, 1.0);
+            const double share = std::chrono::duration<double>(m_now - told->stateSince) / settings.warmingTime;
+            view.weight = std::clamp(share, settings.warmingStartWeight, 1.0);
         }
         if (current == ServerState::Warming) {
             view.reason = "It is warming up.";
         }
-        if (m_result.plan.held.contains(server.id)) {
+        if (m_result.plan.heldByFloor.contains(server.id)) {
             view.spread = m_result.plan.spread;
-            view.weight = view.spread ? 1 : settings.heldWeight;
+            view.weight = view.spread ? 1 : settings.floorWeight;
             view.reason = view.spread ? "All servers look sick, so work goes to all." : "Sick, but the floor holds it.";
         }
         if (told != nullptr && !told->accepting) {
@@ -232,8 +232,9 @@
     /// by the end of the accusations, and all such entries at once would flood the server.
     bool justReturned(const config::BackendServer &server) const
     {
-        const Belief *told = belief(server.id);
-        return !m_serves && told != nullptr && told->sick && told->heardAt && m_now - *told->heardAt < returnDoubt;
+        const RemoteServer *told = belief(server.id);
+        return !m_serves && told != nullptr && told->unhealthy && told->receivedAt
+            && m_now - *told->receivedAt < returnDoubt;
     }
 
     void addPath(ServerView &view, const config::BackendServer &server) const
@@ -285,7 +286,7 @@
         }
     }
 
-    const Knowledge &m_knowledge;
+    const HealthState &m_knowledge;
     const base::ServiceId &m_service;
     base::TimePoint m_now;
     bool m_serves;
@@ -296,7 +297,7 @@
 
 }
 
-Knowledge::Knowledge(const Self &ownSelf, std::uint64_t seed, const HealthSettings &ownSettings)
+HealthState::HealthState(const NodeIdentity &ownSelf, std::uint64_t seed, const HealthSettings &ownSettings)
     : self(ownSelf)
     , settings(ownSettings)
     , siblings(ownSelf.vm, seed, ownSettings)
@@ -304,46 +305,47 @@
 {
 }
 
-bool Knowledge::serves(const base::ServiceId &service) const
+bool HealthState::serves(const base::ServiceId &service) const
 {
-    return std::any_of(
-        own.begin(), own.end(), [&](const auto &entry) { return entry.second.configured().service == service; });
+    return std::any_of(localServers.begin(), localServers.end(), [&](const auto &entry) {
+        return entry.second.configured().service == service;
+    });
 }
 
 // A sibling that claims to be idle and quick would draw all traffic. So a claim is only taken between bounds
 // that this node can see for itself: its own attempts in flight there, and the latency it measured.
 void addLoad(ServerView &view,
-             const Knowledge &knowledge,
+             const HealthState &knowledge,
              const config::BackendServer &server,
              base::Duration usualLatency,
              base::TimePoint now)
 {
     const EntryEvidence *seen = knowledge.entry.server(server.id);
     int inUse = seen != nullptr ? seen->inFlight() : 0;
-    const auto beside = knowledge.own.find(server.id);
-    const auto told = knowledge.beliefs.find(server.id);
-    if (beside != knowledge.own.end()) {
+    const auto beside = knowledge.localServers.find(server.id);
+    const auto told = knowledge.remoteServers.find(server.id);
+    if (beside != knowledge.localServers.end()) {
         inUse = std::max(inUse, static_cast<int>(beside->second.evidence().inFlight()));
         view.queueLength = beside->second.queueLength();
         view.latency = beside->second.latency(usualLatency, now);
         view.age = base::Duration::zero();
-    } else if (told != knowledge.beliefs.end() && told->second.heardAt) {
-        const Belief &belief = told->second;
-        view.age = now - *belief.heardAt;
+    } else if (told != knowledge.remoteServers.end() && told->second.receivedAt) {
+        const RemoteServer &belief = told->second;
+        view.age = now - *belief.receivedAt;
         if (*view.age <= freshLoad) {
             inUse = std::max(inUse, belief.slotsInUse);
             view.queueLength = belief.queueLength;
         }
         const base::Duration latency = std::max(latencyOf(belief.latencySteps), usualLatency / boastDivisor);
-        view.latency = belief.latencySteps > 0 ? driftedLatency(latency, usualLatency, *view.age) : usualLatency;
+        view.latency = belief.latencySteps > 0 ? decayedLatency(latency, usualLatency, *view.age) : usualLatency;
     }
     if (seen != nullptr && seen->answers() >= trustedAnswers) {
-        view.latency = driftedLatency(seen->latency(), view.latency, now - *seen->lastAnswer());
+        view.latency = decayedLatency(seen->latency(), view.latency, now - *seen->lastAnswer());
     }
     view.slotsInUse = std::min(inUse, server.slots);
 }
 
-Assessment assess(const Knowledge &knowledge, const base::ServiceId &service, base::TimePoint now)
+Assessment assess(const HealthState &knowledge, const base::ServiceId &service, base::TimePoint now)
 {
     return Assessor(knowledge, service, now).run();
 }
--- a/src/health/assessment.h
+++ b/src/health/assessment.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "ejectionplan.h"
-#include "entryknowledge.h"
-#include "ownserver.h"
-#include "siblingbook.h"
+#include "entrystate.h"
+#include "localserver.h"
+#include "siblingtable.h"
 
 #include "papayastep/health/healthmonitor.h"
 
@@ -13,26 +13,26 @@
 namespace papayastep::health {
 
 /// A VM that is about to go.
-struct Leaving
+struct LeavingVm
 {
     base::Incarnation incarnation = 0; ///< 0: any; the platform does not know incarnations.
     base::TimePoint since;
 };
 
 /// Everything a node knows; the monitor writes it, assessments read it.
-struct Knowledge
+struct HealthState
 {
-    Knowledge(const Self &self, std::uint64_t seed, const HealthSettings &settings);
+    HealthState(const NodeIdentity &self, std::uint64_t seed, const HealthSettings &settings);
 
-    Self self;
+    NodeIdentity self;
     HealthSettings settings;
     config::ConfigurationPtr configuration;
     config::VmList vmList;
-    std::map<base::BackendServerId, OwnServer> own;
-    Beliefs beliefs;
-    SiblingBook siblings;
-    EntryKnowledge entry;
-    std::map<base::VmId, Leaving> leaving;
+    std::map<base::BackendServerId, LocalServer> localServers;
+    RemoteServers remoteServers;
+    SiblingTable siblings;
+    EntryState entry;
+    std::map<base::VmId, LeavingVm> leaving;
 
     /// Whether this VM has a server of `service` itself, so that its siblings keep it informed.
     bool serves(const base::ServiceId &service) const;
@@ -46,11 +46,11 @@
     std::unordered_map<base::BackendServerId, ServerView> views;
 };
 
-Assessment assess(const Knowledge &knowledge, const base::ServiceId &service, base::TimePoint now);
+Assessment assess(const HealthState &knowledge, const base::ServiceId &service, base::TimePoint now);
 
 /// Load changes with each request and is therefore read at each look, while the rest of a view is kept for a tick.
 void addLoad(ServerView &view,
-             const Knowledge &knowledge,
+             const HealthState &knowledge,
              const config::BackendServer &server,
              base::Duration usualLatency,
              base::TimePoint now);
--- a/src/health/baselines.cpp
+++ b/src/health/baselines.cpp
@@ -21,11 +21,11 @@
 
 }
 
-BaselineDetector::BaselineDetector(const ServiceShape &shape, const base::ManualClock &clock)
-    : m_shape(shape)
+BaselineDetector::BaselineDetector(const ServiceProfile &shape, const base::ManualClock &clock)
+    : m_profile(shape)
     , m_clock(clock)
-    , m_until(static_cast<std::size_t>(shape.servers))
-    , m_busy(m_until.size(), 0)
+    , m_ejectedUntil(static_cast<std::size_t>(shape.servers))
+    , m_busy(m_ejectedUntil.size(), 0)
 {
 }
 
@@ -37,7 +37,7 @@
 void BaselineDetector::finished(int server, const AttemptKey &, AttemptOutcome outcome, base::Duration latency)
 {
     --m_busy[static_cast<std::size_t>(server)];
-    note(server, outcome == AttemptOutcome::Success, latency);
+    record(server, outcome == AttemptOutcome::Success, latency);
 }
 
 void BaselineDetector::hopSent(int, int, const AttemptKey &)
@@ -51,11 +51,11 @@
 void BaselineDetector::hopEnded(int, int server, const AttemptKey &, HopOutcome outcome, base::Duration latency, bool)
 {
     if (outcome == HopOutcome::GivenUp) {
-        note(server, false, latency);
+        record(server, false, latency);
     }
 }
 
-void BaselineDetector::hint(int, bool)
+void BaselineDetector::probeFinished(int, bool)
 {
 }
 
@@ -66,10 +66,10 @@
 
 void BaselineDetector::tick(base::TimePoint now)
 {
-    judge(now);
+    evaluate(now);
 }
 
-void BaselineDetector::judge(base::TimePoint)
+void BaselineDetector::evaluate(base::TimePoint)
 {
 }
 
@@ -90,29 +90,29 @@
 
 bool BaselineDetector::isEjected(int server) const
 {
-    return m_clock.now() < m_until[static_cast<std::size_t>(server)];
+    return m_clock.now() < m_ejectedUntil[static_cast<std::size_t>(server)];
 }
 
 void BaselineDetector::eject(int server)
 {
     int out = 1;
-    for (int other = 0; other < m_shape.servers; ++other) {
+    for (int other = 0; other < m_profile.servers; ++other) {
         out += isEjected(other) ? 1 : 0;
     }
-    if (isEjected(server) || out > (1 - m_shape.floor) * m_shape.servers) {
+    if (isEjected(server) || out > (1 - m_profile.floor) * m_profile.servers) {
         return;
     }
-    m_until[static_cast<std::size_t>(server)] = m_clock.now() + ejectionTime;
+    m_ejectedUntil[static_cast<std::size_t>(server)] = m_clock.now() + ejectionTime;
     m_ejections.push_back(Ejection{server, server});
 }
 
-ConsecutiveFailures::ConsecutiveFailures(const ServiceShape &shape, const base::ManualClock &clock)
+ConsecutiveFailures::ConsecutiveFailures(const ServiceProfile &shape, const base::ManualClock &clock)
     : BaselineDetector(shape, clock)
     , m_failures(static_cast<std::size_t>(shape.servers), 0)
 {
 }
 
-void ConsecutiveFailures::note(int server, bool good, base::Duration)
+void ConsecutiveFailures::record(int server, bool good, base::Duration)
 {
     int &failures = m_failures[static_cast<std::size_t>(server)];
     failures = good ? 0 : failures + 1;
@@ -122,28 +122,28 @@
     }
 }
 
-SuccessRateOutlier::SuccessRateOutlier(const ServiceShape &shape, const base::ManualClock &clock)
+SuccessRateOutlier::SuccessRateOutlier(const ServiceProfile &shape, const base::ManualClock &clock)
     : BaselineDetector(shape, clock)
     , m_good(static_cast<std::size_t>(shape.servers), 0)
     , m_all(m_good.size(), 0)
-    , m_judgedAt(clock.now())
+    , m_evaluatedAt(clock.now())
 {
 }
 
-void SuccessRateOutlier::note(int server, bool good, base::Duration)
+void SuccessRateOutlier::record(int server, bool good, base::Duration)
 {
     m_good[static_cast<std::size_t>(server)] += good ? 1 : 0;
     ++m_all[static_cast<std::size_t>(server)];
 }
 
-void SuccessRateOutlier::judge(base::TimePoint now)
+void SuccessRateOutlier::evaluate(base::TimePoint now)
 {
-    if (now - m_judgedAt < judgeInterval) {
+    if (now - m_evaluatedAt < judgeInterval) {
         return;
     }
-    m_judgedAt = now;
+    m_evaluatedAt = now;
     std::vector<std::pair<double, int>> rates;
-    for (int server = 0; server < m_shape.servers; ++server) {
+    for (int server = 0; server < m_profile.servers; ++server) {
         const int all = std::exchange(m_all[static_cast<std::size_t>(server)], 0);
         const int good = std::exchange(m_good[static_cast<std::size_t>(server)], 0);
         if (all >= smallestVolume) {
@@ -170,13 +170,13 @@
     }
 }
 
-FixedLatencyLimit::FixedLatencyLimit(const ServiceShape &shape, const base::ManualClock &clock)
+FixedLatencyLimit::FixedLatencyLimit(const ServiceProfile &shape, const base::ManualClock &clock)
     : BaselineDetector(shape, clock)
     , m_slow(static_cast<std::size_t>(shape.servers), 0)
 {
 }
 
-void FixedLatencyLimit::note(int server, bool good, base::Duration latency)
+void FixedLatencyLimit::record(int server, bool good, base::Duration latency)
 {
     int &slow = m_slow[static_cast<std::size_t>(server)];
     slow = good && latency <= latencyLimit ? 0 : slow + 1;
@@ -187,7 +187,7 @@
 }
 
 std::unique_ptr<Detector> makeDetector(const std::string &variant,
-                                       const ServiceShape &shape,
+                                       const ServiceProfile &shape,
                                        const base::ManualClock &clock,
                                        std::uint64_t seed,
                                        Link link)
--- a/src/health/baselines.h
+++ b/src/health/baselines.h
@@ -12,7 +12,7 @@
 class BaselineDetector : public Detector
 {
 public:
-    BaselineDetector(const ServiceShape &shape, const base::ManualClock &clock);
+    BaselineDetector(const ServiceProfile &shape, const base::ManualClock &clock);
 
     void started(int server, const AttemptKey &key, const std::string &route) override;
     void finished(int server, const AttemptKey &key, AttemptOutcome outcome, base::Duration latency) override;
@@ -24,7 +24,7 @@
                   HopOutcome outcome,
                   base::Duration latency,
                   bool reached) override;
-    void hint(int server, bool good) override;
+    void probeFinished(int server, bool good) override;
     bool admits(int server) override;
     void tick(base::TimePoint now) override;
     double weight(int entry, int server) override;
@@ -32,16 +32,16 @@
     std::vector<Ejection> takeEjections() override;
 
 protected:
-    virtual void note(int server, bool good, base::Duration latency) = 0;
-    virtual void judge(base::TimePoint now);
+    virtual void record(int server, bool good, base::Duration latency) = 0;
+    virtual void evaluate(base::TimePoint now);
     void eject(int server);
     bool isEjected(int server) const;
 
-    ServiceShape m_shape;
+    ServiceProfile m_profile;
     const base::ManualClock &m_clock;
 
 private:
-    std::vector<base::TimePoint> m_until;
+    std::vector<base::TimePoint> m_ejectedUntil;
     std::vector<int> m_busy;
     std::vector<Ejection> m_ejections;
 };
@@ -50,10 +50,10 @@
 class ConsecutiveFailures final : public BaselineDetector
 {
 public:
-    ConsecutiveFailures(const ServiceShape &shape, const base::ManualClock &clock);
+    ConsecutiveFailures(const ServiceProfile &shape, const base::ManualClock &clock);
 
 protected:
-    void note(int server, bool good, base::Duration latency) override;
+    void record(int server, bool good, base::Duration latency) override;
 
 private:
     std::vector<int> m_failures;
@@ -63,26 +63,26 @@
 class SuccessRateOutlier final : public BaselineDetector
 {
 public:
-    SuccessRateOutlier(const ServiceShape &shape, const base::ManualClock &clock);
+    SuccessRateOutlier(const ServiceProfile &shape, const base::ManualClock &clock);
 
 protected:
-    void note(int server, bool good, base::Duration latency) override;
-    void judge(base::TimePoint now) override;
+    void record(int server, bool good, base::Duration latency) override;
+    void evaluate(base::TimePoint now) override;
 
 private:
     std::vector<int> m_good;
     std::vector<int> m_all;
-    base::TimePoint m_judgedAt;
+    base::TimePoint m_evaluatedAt;
 };
 
 /// Five answers in a row that failed or took longer than half a second.
 class FixedLatencyLimit final : public BaselineDetector
 {
 public:
-    FixedLatencyLimit(const ServiceShape &shape, const base::ManualClock &clock);
+    FixedLatencyLimit(const ServiceProfile &shape, const base::ManualClock &clock);
 
 protected:
-    void note(int server, bool good, base::Duration latency) override;
+    void record(int server, bool good, base::Duration latency) override;
 
 private:
     std::vector<int> m_slow;
@@ -90,7 +90,7 @@
 
 /// `variant`: papayastep, consecutive-failures, success-rate-outlier or fixed-latency-limit.
 std::unique_ptr<Detector> makeDetector(const std::string &variant,
-                                       const ServiceShape &shape,
+                                       const ServiceProfile &shape,
                                        const base::ManualClock &clock,
                                        std::uint64_t seed,
                                        Link link);
--- a/src/health/detection_test.cpp
+++ b/src/health/detection_test.cpp
@@ -16,13 +16,13 @@
 /// A counter service of 8 servers on the manual clock, with traffic, and what became of it.
 struct FleetUnderFault
 {
-    ServiceShape shape = smallCounter();
+    ServiceProfile shape = smallCounter();
     std::unique_ptr<Fleet> fleet;
     double smallestCapacity = 1;
 
-    static ServiceShape smallCounter()
+    static ServiceProfile smallCounter()
     {
-        ServiceShape shape = fleetServices("caribrite").front();
+        ServiceProfile shape = fleetServices("caribrite").front();
         shape.servers = 8;
         return shape;
     }
@@ -76,7 +76,7 @@
         run(settled);
         fail(fault, {0});
         run(limit);
-        BOOST_TEST(fleet->avoidedBy(0) >= 0.5);
+        BOOST_TEST(fleet->avoidedShare(0) >= 0.5);
         BOOST_TEST(ejectionsOfOthers({0}) == 0);
         BOOST_TEST(smallestCapacity >= shape.floor);
     }
@@ -117,7 +117,7 @@
     run(settled);
     fail(Fault::HalfAlive, {0});
     for (int step = 0; step < 10; ++step) {
-        detector().hint(0, true);
+        detector().probeFinished(0, true);
         run(100ms);
     }
     BOOST_TEST(count(HealthEventKind::Ejected, 0) == 1);
@@ -130,7 +130,7 @@
 {
     begin();
     run(settled);
-    detector().hint(0, false);
+    detector().probeFinished(0, false);
     run(60s);
     BOOST_TEST(count(HealthEventKind::Ejected, 0) == 0);
 }
@@ -177,11 +177,11 @@
     run(settled);
     fail(Fault::Paused, {0}, 3s);
     run(2900ms);
-    BOOST_TEST(fleet->avoidedBy(0) >= 0.5);
+    BOOST_TEST(fleet->avoidedShare(0) >= 0.5);
     run(20s);
     BOOST_TEST(detector().monitor(0).counters().pauses == 1U);
     BOOST_TEST(ejectionsOfOthers({}) == 0);
-    BOOST_TEST(fleet->avoidedBy(0) == 0);
+    BOOST_TEST(fleet->avoidedShare(0) == 0);
 }
 
 // A whole availability zone becomes slow. All its servers are worse than the median and leave, the floor holds.
@@ -191,8 +191,8 @@
     run(settled);
     fail(Fault::SlowTenfold, {0, 4});
     run(2s);
-    BOOST_TEST(fleet->avoidedBy(0) == 1);
-    BOOST_TEST(fleet->avoidedBy(4) == 1);
+    BOOST_TEST(fleet->avoidedShare(0) == 1);
+    BOOST_TEST(fleet->avoidedShare(4) == 1);
     BOOST_TEST(ejectionsOfOthers({0, 4}) == 0);
     BOOST_TEST(smallestCapacity >= shape.floor);
 }
@@ -215,8 +215,8 @@
     fail(Fault::Hang, {1});
     fail(Fault::ErrorsOnThird, {6});
     run(2s);
-    BOOST_TEST(fleet->avoidedBy(1) == 1);
-    BOOST_TEST(fleet->avoidedBy(6) == 1);
+    BOOST_TEST(fleet->avoidedShare(1) == 1);
+    BOOST_TEST(fleet->avoidedShare(6) == 1);
     BOOST_TEST(ejectionsOfOthers({1, 6}) == 0);
 }
 
@@ -230,9 +230,9 @@
     run(200ms);
     detector().publish();
     run(800ms);
-    BOOST_TEST(fleet->avoidedBy(0) == 1);
+    BOOST_TEST(fleet->avoidedShare(0) == 1);
     detector().publish();
-    BOOST_TEST(fleet->avoidedBy(0) == 1);
+    BOOST_TEST(fleet->avoidedShare(0) == 1);
 }
 
 // Six of eight servers hang one after the other, with a floor of half. The last two can't carry the traffic alone;
@@ -265,7 +265,7 @@
     BOOST_TEST(count(HealthEventKind::Returned, 0) == 0);
     run(120s);
     BOOST_TEST(count(HealthEventKind::Returned, 0) == 1);
-    BOOST_TEST(fleet->avoidedBy(0) == 0);
+    BOOST_TEST(fleet->avoidedShare(0) == 0);
 }
 
 // The process of a backend server dies while the node beside it lives on. One refused connection is load and says
--- a/src/health/ejectionplan.cpp
+++ b/src/health/ejectionplan.cpp
@@ -19,7 +19,7 @@
 {
     std::vector<const SiblingCondition *> sick;
     for (const SiblingCondition &server : servers) {
-        if (server.sick && !server.gone) {
+        if (server.unhealthy && !server.gone) {
             sick.push_back(&server);
         }
     }
@@ -51,7 +51,7 @@
             capacity -= server->slots;
             plan.ejected.insert(server->id);
         } else {
-            plan.held.insert(server->id);
+            plan.heldByFloor.insert(server->id);
         }
     }
     return plan;
--- a/src/health/ejectionplan.h
+++ b/src/health/ejectionplan.h
@@ -13,7 +13,7 @@
     base::BackendServerId id;
     int slots = 1;
     bool gone = false; ///< Draining, leaving or unreachable: no capacity, whatever the plan does.
-    bool sick = false; ///< Its node claims that it should be ejected.
+    bool unhealthy = false; ///< Its node claims that it should be ejected.
     bool ejected = false; ///< It is ejected or in trial now.
     int severity = 0; ///< Percent of the ejection threshold.
 
@@ -25,7 +25,7 @@
 struct EjectionPlan
 {
     std::set<base::BackendServerId> ejected;
-    std::set<base::BackendServerId> held; ///< Sick, but the floor keeps them in use.
+    std::set<base::BackendServerId> heldByFloor; ///< Sick, but the floor keeps them in use.
     bool spread = false; ///< Everything that is left looks sick: nothing is ejected, work goes to all.
 
     auto operator<=>(const EjectionPlan &) const = default;
--- a/src/health/ejectionplan_test.cpp
+++ b/src/health/ejectionplan_test.cpp
@@ -66,7 +66,7 @@
     const EjectionPlan plan
         = planEjections({server("a", 110), server("b", 140), server("c", 120), server("d", 0, false)}, 0.75);
     BOOST_TEST((plan.ejected == std::set{base::BackendServerId("b")}));
-    BOOST_TEST(plan.held.size() == 2U);
+    BOOST_TEST(plan.heldByFloor.size() == 2U);
 }
 
 // A held server gathers more evidence than an ejected one, whose evidence stands still. Without its lead the two
--- a/src/health/entryevidence.cpp
+++ b/src/health/entryevidence.cpp
@@ -55,11 +55,11 @@
     if (!failed) {
         m_latencies.add(latency);
         m_lastAnswer = now;
-        ++m_goodInProbation;
+        ++m_probationAnswers;
     }
 }
 
-void EntryEvidence::distrustInFlight()
+void EntryEvidence::invalidateInFlight()
 {
     m_hops.clear();
 }
@@ -71,7 +71,7 @@
         limit = std::max(shortestSilence, std::chrono::duration_cast<base::Duration>(usualLatency * silentMultiple));
     }
     const auto silent = std::count_if(m_hops.begin(), m_hops.end(), [&](const auto &entry) {
-        return entry.second.acknowledged && now - entry.second.since >= limit;
+        return entry.second.acknowledged && now - entry.second.startedAt >= limit;
     });
     return m_test.score() + static_cast<double>(silent) * silenceEvidence;
 }
@@ -82,44 +82,45 @@
                                                       double usualFailures)
 {
     m_usualFailures = usualFailures;
-    const double limit = m_stance == Stance::Probation ? probationEvidence : threshold;
-    if (m_stance != Stance::Avoided && score(now, usualLatency) >= limit) {
-        m_stance = Stance::Avoided;
-        m_avoided = std::min(m_avoided + 1, maxAvoided);
-        m_since = now;
+    const double limit = m_status == Status::Probation ? probationEvidence : threshold;
+    if (m_status != Status::Avoided && score(now, usualLatency) >= limit) {
+        m_status = Status::Avoided;
+        m_avoidances = std::min(m_avoidances + 1, maxAvoided);
+        m_statusSince = now;
         return HealthEventKind::EntryEjected;
     }
-    if (m_stance == Stance::Avoided && now - m_since >= hold()) {
-        m_stance = Stance::Probation;
-        m_goodInProbation = 0;
+    if (m_status == Status::Avoided && now - m_statusSince >= avoidanceTime()) {
+        m_status = Status::Probation;
+        m_probationAnswers = 0;
         m_hops.clear();
         m_test.reset();
-        m_since = now;
+        m_statusSince = now;
     }
-    if (m_stance == Stance::Probation && m_goodInProbation >= probationAnswers) {
-        m_stance = Stance::Good;
-        m_since = now;
+    if (m_status == Status::Probation && m_probationAnswers >= probationAnswers) {
+        m_status = Status::Good;
+        m_statusSince = now;
         return HealthEventKind::EntryReturned;
     }
-    if (m_stance == Stance::Good && now - m_since >= m_settings.holdDecay) {
-        m_avoided = 0;
+    if (m_status == Status::Good && now - m_statusSince >= m_settings.ejectionDecayTime) {
+        m_avoidances = 0;
     }
     return std::nullopt;
 }
 
-base::Duration EntryEvidence::hold() const
+base::Duration EntryEvidence::avoidanceTime() const
 {
-    return std::min<base::Duration>(m_settings.baseHold * (1 << (m_avoided - 1)), m_settings.maxHold);
+    return std::min<base::Duration>(m_settings.baseEjectionTime * (1 << (m_avoidances - 1)),
+                                    m_settings.maxEjectionTime);
 }
 
 double EntryEvidence::weight() const
 {
-    switch (m_stance) {
-    case Stance::Good:
+    switch (m_status) {
+    case Status::Good:
         return 1;
-    case Stance::Probation:
+    case Status::Probation:
         return m_settings.trialWeight;
-    case Stance::Avoided:
+    case Status::Avoided:
         break;
     }
     return 0;
@@ -152,7 +153,7 @@
 
 bool EntryEvidence::idleSince(base::TimePoint limit) const
 {
-    return m_stance == Stance::Good && m_hops.empty() && m_lastUse < limit;
+    return m_status == Status::Good && m_hops.empty() && m_lastUse < limit;
 }
 
 }
--- a/src/health/entryevidence.h
+++ b/src/health/entryevidence.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "medianring.h"
+#include "rollingmedian.h"
 #include "sequentialtest.h"
 
 #include "papayastep/health/attempt.h"
@@ -22,7 +22,7 @@
     void sent(const AttemptKey &key, base::TimePoint now);
     void acknowledged(const AttemptKey &key, base::TimePoint now);
     void ended(const AttemptKey &key, HopOutcome outcome, base::Duration latency, base::TimePoint now);
-    void distrustInFlight();
+    void invalidateInFlight();
 
     /// Moves on with time. `usualLatency` is the siblings' (0: not known), `usualFailures` their share of failures.
     std::optional<HealthEventKind> advance(base::TimePoint now,
@@ -40,11 +40,11 @@
     bool idleSince(base::TimePoint limit) const;
 
 private:
-    base::Duration hold() const;
-    enum class Stance { Good, Avoided, Probation };
+    base::Duration avoidanceTime() const;
+    enum class Status { Good, Avoided, Probation };
     struct Hop
     {
-        base::TimePoint since;
+        base::TimePoint startedAt;
         bool acknowledged = false;
     };
 
@@ -52,16 +52,16 @@
 
     HealthSettings m_settings;
     std::unordered_map<AttemptKey, Hop> m_hops;
-    MedianRing m_latencies;
+    RollingMedian m_latencies;
     std::optional<base::TimePoint> m_lastAnswer;
     Cusum m_test;
     double m_failureShare = 0;
     double m_usualFailures = 0;
-    Stance m_stance = Stance::Good;
-    base::TimePoint m_since;
+    Status m_status = Status::Good;
+    base::TimePoint m_statusSince;
     base::TimePoint m_lastUse;
-    int m_avoided = 0;
-    int m_goodInProbation = 0;
+    int m_avoidances = 0;
+    int m_probationAnswers = 0;
 };
 
 }
--- a/src/health/entryknowledge.cpp
+++ b/src/health/entrystate.cpp
@@ -1,4 +1,4 @@
-#include "entryknowledge.h"
+#include "entrystate.h"
 
 #include <algorithm>
 
@@ -27,22 +27,22 @@
 
 }
 
-EntryKnowledge::EntryKnowledge(const HealthSettings &settings)
+EntryState::EntryState(const HealthSettings &settings)
     : m_settings(settings)
 {
 }
 
-void EntryKnowledge::hopSent(const base::VmId &vm,
-                             const base::BackendServerId &server,
-                             const AttemptKey &key,
-                             base::TimePoint now)
+void EntryState::hopSent(const base::VmId &vm,
+                         const base::BackendServerId &server,
+                         const AttemptKey &key,
+                         base::TimePoint now)
 {
     m_paths.try_emplace(vm, m_settings).first->second.sent(key, now);
     m_servers.try_emplace(server, m_settings).first->second.sent(key, now);
     m_serverOfHop[key] = server;
 }
 
-void EntryKnowledge::hopAcknowledged(const base::VmId &vm, const AttemptKey &key, base::TimePoint now)
+void EntryState::hopAcknowledged(const base::VmId &vm, const AttemptKey &key, base::TimePoint now)
 {
     if (const auto path = m_paths.find(vm); path != m_paths.end()) {
         path->second.acknowledged(key, now);
@@ -52,7 +52,7 @@
     }
 }
 
-void EntryKnowledge::hopEnded(
+void EntryState::hopEnded(
     const base::VmId &vm, const AttemptKey &key, HopOutcome outcome, base::Duration latency, base::TimePoint now)
 {
     if (const auto path = m_paths.find(vm); path != m_paths.end()) {
@@ -66,90 +66,90 @@
     m_serverOfHop.erase(hop);
 }
 
-void EntryKnowledge::distrust()
+void EntryState::invalidate()
 {
     for (auto &[vm, path] : m_paths) {
-        path.distrustInFlight();
+        path.invalidateInFlight();
     }
     for (auto &[id, server] : m_servers) {
-        server.distrustInFlight();
+        server.invalidateInFlight();
     }
     m_serverOfHop.clear();
-    m_hearsay.clear();
+    m_ejectionReports.clear();
 }
 
-bool EntryKnowledge::hearEjected(const base::ServiceId &service,
-                                 const base::VmId &from,
-                                 std::uint64_t version,
-                                 const std::vector<std::uint32_t> &ejected,
-                                 base::TimePoint now)
+bool EntryState::recordEjected(const base::ServiceId &service,
+                               const base::VmId &from,
+                               std::uint64_t version,
+                               const std::vector<std::uint32_t> &ejected,
+                               base::TimePoint now)
 {
-    Hearsay &hearsay = m_hearsay[service][from];
-    if (version < hearsay.version && now - hearsay.heardAt < hearsayLifetime) {
+    EjectionReport &hearsay = m_ejectionReports[service][from];
+    if (version < hearsay.version && now - hearsay.receivedAt < hearsayLifetime) {
         return false;
     }
     const bool news = hearsay.ejected != ejected;
-    hearsay = Hearsay{version, ejected, now};
+    hearsay = EjectionReport{version, ejected, now};
     return news;
 }
 
-std::optional<base::TimePoint> EntryKnowledge::heardEjected(const base::ServiceId &service,
-                                                            const base::VmId &vm,
-                                                            std::uint32_t server,
-                                                            base::TimePoint now) const
+std::optional<base::TimePoint> EntryState::reportedEjected(const base::ServiceId &service,
+                                                           const base::VmId &vm,
+                                                           std::uint32_t server,
+                                                           base::TimePoint now) const
 {
-    const auto found = m_hearsay.find(service);
-    if (found == m_hearsay.end()) {
+    const auto found = m_ejectionReports.find(service);
+    if (found == m_ejectionReports.end()) {
         return std::nullopt;
     }
     std::size_t reporters = 0;
     std::size_t accusers = 0;
     base::TimePoint latest;
     for (const auto &[reporter, hearsay] : found->second) {
-        if (reporter == vm || now - hearsay.heardAt > hearsayLifetime) {
+        if (reporter == vm || now - hearsay.receivedAt > hearsayLifetime) {
             continue;
         }
         ++reporters;
         if (std::find(hearsay.ejected.begin(), hearsay.ejected.end(), server) != hearsay.ejected.end()) {
             ++accusers;
-            latest = std::max(latest, hearsay.heardAt);
+            latest = std::max(latest, hearsay.receivedAt);
         }
     }
     return accusers > 0 && 2 * accusers >= reporters ? std::optional(latest) : std::nullopt;
 }
 
-std::unordered_map<base::BackendServerId, EntryEvidence> &EntryKnowledge::servers()
+std::unordered_map<base::BackendServerId, EntryEvidence> &EntryState::servers()
 {
     return m_servers;
 }
 
-std::map<base::VmId, PathEvidence> &EntryKnowledge::paths()
+std::map<base::VmId, PathEvidence> &EntryState::paths()
 {
     return m_paths;
 }
 
-const EntryEvidence *EntryKnowledge::server(const base::BackendServerId &id) const
+const EntryEvidence *EntryState::server(const base::BackendServerId &id) const
 {
     const auto found = m_servers.find(id);
     return found != m_servers.end() ? &found->second : nullptr;
 }
 
-const PathEvidence *EntryKnowledge::path(const base::VmId &vm) const
+const PathEvidence *EntryState::path(const base::VmId &vm) const
 {
     const auto found = m_paths.find(vm);
     return found != m_paths.end() ? &found->second : nullptr;
 }
 
-void EntryKnowledge::expire(base::TimePoint now)
+void EntryState::expire(base::TimePoint now)
 {
     const base::TimePoint limit = now - idleLifetime;
     std::erase_if(m_paths, [&](const auto &entry) { return entry.second.idleSince(limit); });
     std::erase_if(m_servers, [&](const auto &entry) { return entry.second.idleSince(limit); });
     std::erase_if(m_serverOfHop, [&](const auto &entry) { return !m_servers.contains(entry.second); });
-    for (auto &[service, reporters] : m_hearsay) {
-        std::erase_if(reporters, [&](const auto &entry) { return entry.second.heardAt < limit; });
+    for (auto &[service, reporters] : m_ejectionReports) {
+        std::erase_if(reporters, [&](const auto &entry) { return entry.second.receivedAt < limit; });
     }
-    std::erase_if(m_hearsay, [](const auto &entry) { return entry.second.empty(); });
+    std::erase_if(m_ejectionReports, [](const auto &entry) { return entry.second.empty(); });
 }
 
 }
--- a/src/health/entryknowledge.h
+++ b/src/health/entrystate.h
@@ -12,28 +12,28 @@
 namespace papayastep::health {
 
 /// What this node knows as an entry: by its own hops, and by the reports that ride on their answers.
-class EntryKnowledge
+class EntryState
 {
 public:
-    explicit EntryKnowledge(const HealthSettings &settings);
+    explicit EntryState(const HealthSettings &settings);
 
     void hopSent(const base::VmId &vm, const base::BackendServerId &server, const AttemptKey &key, base::TimePoint now);
     void hopAcknowledged(const base::VmId &vm, const AttemptKey &key, base::TimePoint now);
     void hopEnded(
         const base::VmId &vm, const AttemptKey &key, HopOutcome outcome, base::Duration latency, base::TimePoint now);
-    void distrust();
+    void invalidate();
 
     /// Which siblings of `service` the node on `from` holds for ejected. Returns whether that is news.
-    bool hearEjected(const base::ServiceId &service,
-                     const base::VmId &from,
-                     std::uint64_t version,
-                     const std::vector<std::uint32_t> &ejected,
-                     base::TimePoint now);
+    bool recordEjected(const base::ServiceId &service,
+                       const base::VmId &from,
+                       std::uint64_t version,
+                       const std::vector<std::uint32_t> &ejected,
+                       base::TimePoint now);
     /// When most of the recent reporters (its own VM aside) last said that `server` is ejected.
-    std::optional<base::TimePoint> heardEjected(const base::ServiceId &service,
-                                                const base::VmId &vm,
-                                                std::uint32_t server,
-                                                base::TimePoint now) const;
+    std::optional<base::TimePoint> reportedEjected(const base::ServiceId &service,
+                                                   const base::VmId &vm,
+                                                   std::uint32_t server,
+                                                   base::TimePoint now) const;
 
     std::unordered_map<base::BackendServerId, EntryEvidence> &servers();
     std::map<base::VmId, PathEvidence> &paths();
@@ -43,18 +43,18 @@
     void expire(base::TimePoint now);
 
 private:
-    struct Hearsay
+    struct EjectionReport
     {
         std::uint64_t version = 0;
         std::vector<std::uint32_t> ejected;
-        base::TimePoint heardAt;
+        base::TimePoint receivedAt;
     };
 
     HealthSettings m_settings;
     std::unordered_map<base::BackendServerId, EntryEvidence> m_servers;
     std::map<base::VmId, PathEvidence> m_paths;
     std::unordered_map<AttemptKey, base::BackendServerId> m_serverOfHop;
-    std::unordered_map<base::ServiceId, std::map<base::VmId, Hearsay>> m_hearsay;
+    std::unordered_map<base::ServiceId, std::map<base::VmId, EjectionReport>> m_ejectionReports;
 };
 
 }
--- a/src/health/failurefilter_test.cpp
+++ b/src/health/grayfailureestimator_test.cpp
@@ -1,4 +1,4 @@
-#include "papayastep/health/failurefilter.h"
+#include "papayastep/health/grayfailureestimator.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -11,12 +11,12 @@
 struct FilterFixture
 {
     base::ManualClock clock;
-    FailureFilter filter{clock.now()};
+    GrayFailureEstimator filter{clock.now()};
 
     void answer(bool failed, base::Duration later = 200ms)
     {
         clock.advance(later);
-        filter.noteEnd(failed ? RunEnd::Broken : RunEnd::Answered, clock.now());
+        filter.recordEnd(failed ? RunEnd::Broken : RunEnd::Answered, clock.now());
     }
     bool admitsScout() const
     {
@@ -72,8 +72,8 @@
 BOOST_FIXTURE_TEST_CASE(filter_withTwoOverdueRequests_holds, FilterFixture)
 {
     answer(false);
-    filter.noteOverdue(clock.now());
-    filter.noteOverdue(clock.now());
+    filter.recordOverdue(clock.now());
+    filter.recordOverdue(clock.now());
     BOOST_TEST(filter.isHeld(clock.now()));
 }
 
@@ -94,10 +94,10 @@
     for (int i = 0; i < 10; ++i) {
         answer(false);
     }
-    filter.noteEnd(RunEnd::Error, clock.now());
+    filter.recordEnd(RunEnd::Error, clock.now());
     BOOST_TEST(admitsAll());
     clock.advance(100ms);
-    filter.noteEnd(RunEnd::Error, clock.now());
+    filter.recordEnd(RunEnd::Error, clock.now());
     BOOST_TEST(filter.isHeld(clock.now()));
 }
 
@@ -114,10 +114,10 @@
         clock.advance(100ms);
         if (admitsAll()) {
             ++lostBookings;
-            filter.noteEnd(RunEnd::Broken, clock.now());
+            filter.recordEnd(RunEnd::Broken, clock.now());
         } else if (filter.admits(true, false, clock.now())) {
             ++scouts;
-            filter.noteEnd(RunEnd::Broken, clock.now());
+            filter.recordEnd(RunEnd::Broken, clock.now());
         }
     }
     BOOST_TEST(lostBookings == 1);
@@ -126,7 +126,7 @@
     for (int answers = 0; answers < 2; ++answers) {
         clock.advance(1s);
         BOOST_TEST(filter.admits(true, false, clock.now()));
-        filter.noteEnd(RunEnd::Answered, clock.now());
+        filter.recordEnd(RunEnd::Answered, clock.now());
     }
     BOOST_TEST(admitsAll());
 }
--- a/src/health/healthmonitor.cpp
+++ b/src/health/healthmonitor.cpp
@@ -34,9 +34,9 @@
 class HealthMonitor::Impl
 {
 public:
-    Impl(const Self &self, const base::Clock &clock, std::uint64_t seed, const HealthSettings &settings)
+    Impl(const NodeIdentity &self, const base::Clock &clock, std::uint64_t seed, const HealthSettings &settings)
         : m_clock(clock)
-        , m_know(self, seed, settings)
+        , m_state(self, seed, settings)
         , m_lastCall(clock.now())
     {
     }
@@ -45,8 +45,8 @@
     base::TimePoint now()
     {
         const base::TimePoint time = m_clock.now();
-        if (time - m_lastCall > m_know.settings.pauseLimit) {
-            wake(time);
+        if (time - m_lastCall > m_state.settings.pauseLimit) {
+            handlePause(time);
         }
         m_lastCall = time;
         return time;
@@ -55,7 +55,7 @@
     void applyConfiguration(const config::ConfigurationPtr &configuration);
     void applyVmList(const config::VmList &list);
     void setLeaving(const base::VmId &vm);
-    void absorbReport(const base::VmId &from, const ServerReport &report);
+    void applyReport(const base::VmId &from, const ServerReport &report);
     void receive(const base::VmId &from,
                  base::Incarnation incarnation,
                  wire::MessageKind kind,
@@ -63,12 +63,12 @@
     void tick();
     ServerReport report(const base::BackendServerId &server);
     const Assessment *assessmentOf(const base::ServiceId &service, base::TimePoint time);
-    std::vector<base::BackendServerId> probesWanted(base::TimePoint time);
+    std::vector<base::BackendServerId> serversToProbe(base::TimePoint time);
 
-    OwnServer *own(const base::BackendServerId &id)
+    LocalServer *localServer(const base::BackendServerId &id)
     {
-        const auto found = m_know.own.find(id);
-        return found != m_know.own.end() ? &found->second : nullptr;
+        const auto found = m_state.localServers.find(id);
+        return found != m_state.localServers.end() ? &found->second : nullptr;
     }
 
     /// Runs `note`, which may show that a broken path works again.
@@ -76,27 +76,27 @@
     void hopReached(const base::VmId &vm, const Note &note)
     {
         const base::TimePoint time = now();
-        const PathEvidence *path = m_know.entry.path(vm);
+        const PathEvidence *path = m_state.entry.path(vm);
         const bool wasGood = path == nullptr || path->state() == PathState::Good;
         note(time);
         if (!wasGood && path->state() == PathState::Good) {
             report(HealthEvent{HealthEventKind::PathReturned, {}, vm, "The path works again."});
-            changed();
+            invalidateAssessments();
         }
     }
 
-    void changed()
+    void invalidateAssessments()
     {
         m_assessments.clear();
     }
 
-    void setInformed()
+    void setUpToDate()
     {
-        m_informed = true;
+        m_upToDate = true;
     }
 
     const base::Clock &m_clock;
-    Knowledge m_know;
+    HealthState m_state;
     std::map<base::ServiceId, ServiceReference> m_references;
     std::vector<wire::Outgoing> m_outbox;
     std::vector<HealthEvent> m_events;
@@ -108,108 +108,108 @@
     struct Announcement
     {
         ServerState state = ServerState::Warming;
-        bool sick = false;
-        int level = 0; ///< Of severity.
+        bool unhealthy = false;
+        int severityLevel = 0; ///< Of severity.
 
         auto operator<=>(const Announcement &) const = default;
     };
 
-    void wake(base::TimePoint time);
-    void keepOwnServers(base::TimePoint time);
-    void takeDrainFlag(OwnServer &server, base::TimePoint time);
+    void handlePause(base::TimePoint time);
+    void updateLocalServers(base::TimePoint time);
+    void applyDrainFlag(LocalServer &server, base::TimePoint time);
     std::vector<base::BackendServerId> serversOf(const base::ServiceId &service) const;
     void refreshReferences(base::TimePoint time);
-    void judgeService(const base::ServiceId &service, base::TimePoint time);
-    void weighOwnServers(const base::ServiceId &service, base::TimePoint time);
-    void noteEjectedSet(const base::ServiceId &service, const EjectionPlan &plan);
-    void judgePaths(base::TimePoint time);
-    void judgeEntryEvidence(base::TimePoint time);
+    void evaluateService(const base::ServiceId &service, base::TimePoint time);
+    void updateSeverities(const base::ServiceId &service, base::TimePoint time);
+    void recordEjectedSet(const base::ServiceId &service, const EjectionPlan &plan);
+    void evaluatePaths(base::TimePoint time);
+    void evaluateEntryEvidence(base::TimePoint time);
     void sendStates(base::TimePoint time);
-    FullClaim fullClaim(const OwnServer &server, base::TimePoint time);
+    FullServerStatus fullStatus(const LocalServer &server, base::TimePoint time);
     void expire(base::TimePoint time);
-    void leave(const base::VmId &vm, base::Incarnation incarnation, base::TimePoint time);
+    void markLeaving(const base::VmId &vm, base::Incarnation incarnation, base::TimePoint time);
     void report(const HealthEvent &event);
     double allowedFalseEjections(const config::Service *service) const;
     double pathThreshold(const base::VmId &vm) const;
 
     base::TimePoint m_lastCall;
-    base::TimePoint m_wokeAt;
-    base::TimePoint m_referencesAt;
-    base::TimePoint m_expiredAt;
-    bool m_informed = false;
+    base::TimePoint m_lastPauseEnd;
+    base::TimePoint m_referencesUpdated;
+    base::TimePoint m_lastExpiry;
+    bool m_upToDate = false;
     std::map<base::ServiceId, std::pair<base::TimePoint, Assessment>> m_assessments;
     std::map<base::ServiceId, std::set<base::BackendServerId>> m_ejectedSets;
     std::map<base::VmId, bool> m_prefersFew; ///< By VM: whether some service on it prefers few ejections.
     std::uint64_t m_ejectedVersion = 1;
-    std::map<base::BackendServerId, Announcement> m_told;
+    std::map<base::BackendServerId, Announcement> m_announced;
     std::map<base::BackendServerId, base::TimePoint> m_probedAt;
 };
 
 // A process that slept holds beliefs from before: siblings may have been ejected or replaced, and its own attempts
 // look as if the backend server had hung. Acting on that would eject healthy servers, and telling it would mislead
 // the siblings. So it starts from nothing and stays silent until something fresh has come.
-void HealthMonitor::Impl::wake(base::TimePoint time)
+void HealthMonitor::Impl::handlePause(base::TimePoint time)
 {
-    for (auto &[id, server] : m_know.own) {
-        server.distrust();
+    for (auto &[id, server] : m_state.localServers) {
+        server.invalidate();
     }
-    for (auto &[id, belief] : m_know.beliefs) {
-        belief.distrust();
+    for (auto &[id, belief] : m_state.remoteServers) {
+        belief.invalidate();
     }
-    m_know.siblings.distrust();
-    m_know.entry.distrust();
+    m_state.siblings.invalidate();
+    m_state.entry.invalidate();
     m_outbox.clear();
-    m_told.clear();
-    m_informed = false;
-    m_wokeAt = time;
-    changed();
+    m_announced.clear();
+    m_upToDate = false;
+    m_lastPauseEnd = time;
+    invalidateAssessments();
     ++m_counters.pauses;
     report(HealthEvent{
-        HealthEventKind::WokeFromPause, {}, m_know.self.vm, "The process was paused; earlier beliefs are dropped."});
+        HealthEventKind::WokeFromPause, {}, m_state.self.vm, "The process was paused; earlier beliefs are dropped."});
 }
 
 void HealthMonitor::Impl::applyConfiguration(const config::ConfigurationPtr &configuration)
 {
     const base::TimePoint time = now();
-    m_know.configuration = configuration;
-    keepOwnServers(time);
-    m_know.siblings.configure(*configuration, time);
-    std::erase_if(m_know.beliefs,
+    m_state.configuration = configuration;
+    updateLocalServers(time);
+    m_state.siblings.configure(*configuration, time);
+    std::erase_if(m_state.remoteServers,
                   [&](const auto &entry) { return configuration->backendServer(entry.first) == nullptr; });
     m_prefersFew.clear();
     for (const config::BackendServer &server : configuration->backendServers()) {
         const config::Service *service = configuration->service(server.service);
         m_prefersFew[server.vm] = m_prefersFew[server.vm] || prefersFew(service);
     }
-    m_referencesAt = {};
-    setInformed();
-    changed();
+    m_referencesUpdated = {};
+    setUpToDate();
+    invalidateAssessments();
 }
 
-void HealthMonitor::Impl::keepOwnServers(base::TimePoint time)
+void HealthMonitor::Impl::updateLocalServers(base::TimePoint time)
 {
-    const config::Configuration &configuration = *m_know.configuration;
+    const config::Configuration &configuration = *m_state.configuration;
     // A server at another address is another process: its evidence must not be inherited.
-    std::erase_if(m_know.own, [&](const auto &entry) {
+    std::erase_if(m_state.localServers, [&](const auto &entry) {
         const config::BackendServer &before = entry.second.configured();
         const config::BackendServer *after = configuration.backendServer(entry.first);
-        return after == nullptr || after->vm != m_know.self.vm || after->address != before.address
+        return after == nullptr || after->vm != m_state.self.vm || after->address != before.address
             || after->port != before.port || after->service != before.service;
     });
     for (const config::BackendServer &server : configuration.backendServers()) {
-        if (server.vm != m_know.self.vm) {
+        if (server.vm != m_state.self.vm) {
             continue;
         }
-        const auto [place, isNew] = m_know.own.try_emplace(server.id, server, m_know.settings, time);
+        const auto [place, isNew] = m_state.localServers.try_emplace(server.id, server, m_state.settings, time);
         place->second.setConfigured(server);
-        takeDrainFlag(place->second, time);
-        if (isNew && m_know.leaving.contains(m_know.self.vm)) {
+        applyDrainFlag(place->second, time);
+        if (isNew && m_state.leaving.contains(m_state.self.vm)) {
             place->second.handle(ServerEvent::Leave, time);
         }
     }
 }
 
-void HealthMonitor::Impl::takeDrainFlag(OwnServer &server, base::TimePoint time)
+void HealthMonitor::Impl::applyDrainFlag(LocalServer &server, base::TimePoint time)
 {
     const bool drain = server.configured().drain;
     if (!server.handle(drain ? ServerEvent::Drain : ServerEvent::Undrain, time) || !drain) {
@@ -222,65 +222,65 @@
 void HealthMonitor::Impl::applyVmList(const config::VmList &list)
 {
     const base::TimePoint time = now();
-    m_know.vmList = list;
+    m_state.vmList = list;
     for (const config::VmEntry &vm : list.vms) {
         if (vm.leaving) {
-            leave(vm.id, 0, time);
+            markLeaving(vm.id, 0, time);
         }
     }
-    setInformed();
-    changed();
+    setUpToDate();
+    invalidateAssessments();
 }
 
 void HealthMonitor::Impl::setLeaving(const base::VmId &vm)
 {
     const base::TimePoint time = now();
-    leave(vm, vm == m_know.self.vm ? m_know.self.incarnation : 0, time);
-    if (vm != m_know.self.vm) {
+    markLeaving(vm, vm == m_state.self.vm ? m_state.self.incarnation : 0, time);
+    if (vm != m_state.self.vm) {
         return;
     }
-    for (const base::VmId &sibling : m_know.siblings.siblings()) {
+    for (const base::VmId &sibling : m_state.siblings.siblings()) {
         m_outbox.push_back(wire::outgoing(sibling, wire::MessageKind::SiblingLeaving, SiblingLeaving{vm.value()}));
     }
 }
 
-void HealthMonitor::Impl::leave(const base::VmId &vm, base::Incarnation incarnation, base::TimePoint time)
+void HealthMonitor::Impl::markLeaving(const base::VmId &vm, base::Incarnation incarnation, base::TimePoint time)
 {
-    if (!m_know.leaving.try_emplace(vm, Leaving{incarnation, time}).second) {
+    if (!m_state.leaving.try_emplace(vm, LeavingVm{incarnation, time}).second) {
         return;
     }
-    if (vm == m_know.self.vm) {
-        for (auto &[id, server] : m_know.own) {
+    if (vm == m_state.self.vm) {
+        for (auto &[id, server] : m_state.localServers) {
             server.handle(ServerEvent::Leave, time);
         }
     }
-    changed();
+    invalidateAssessments();
     report(HealthEvent{HealthEventKind::Gone, {}, vm, "The VM is leaving; it gets no new work."});
 }
 
-void HealthMonitor::Impl::absorbReport(const base::VmId &from, const ServerReport &report)
+void HealthMonitor::Impl::applyReport(const base::VmId &from, const ServerReport &report)
 {
     const base::TimePoint time = now();
-    if (!m_know.configuration || !report.informed) {
+    if (!m_state.configuration || !report.upToDate) {
         return;
     }
-    const config::BackendServer *server = m_know.configuration->backendServer(base::BackendServerId(report.serverId));
-    if (server == nullptr || server->vm != from || from == m_know.self.vm) {
+    const config::BackendServer *server = m_state.configuration->backendServer(base::BackendServerId(report.serverId));
+    if (server == nullptr || server->vm != from || from == m_state.self.vm) {
         ++m_counters.messagesIgnored;
         return;
     }
     const bool atWork = report.state != static_cast<std::uint8_t>(ServerState::Gone);
-    const auto leaving = m_know.leaving.find(from);
-    if (atWork && leaving != m_know.leaving.end() && time - leaving->second.since > farewellTime) {
-        m_know.leaving.erase(leaving);
+    const auto leaving = m_state.leaving.find(from);
+    if (atWork && leaving != m_state.leaving.end() && time - leaving->second.since > farewellTime) {
+        m_state.leaving.erase(leaving);
     }
-    Belief &belief = m_know.beliefs[server->id];
+    RemoteServer &belief = m_state.remoteServers[server->id];
     const ServerState before = belief.state;
-    const bool first = !belief.heardAt;
+    const bool first = !belief.receivedAt;
     belief.absorb(report, time);
-    const bool news = m_know.entry.hearEjected(server->service, from, report.ejectedVersion, report.ejected, time);
+    const bool news = m_state.entry.recordEjected(server->service, from, report.ejectedVersion, report.ejected, time);
     if (news || first || belief.state != before) {
-        changed();
+        invalidateAssessments();
     }
 }
 
@@ -290,20 +290,20 @@
                                   std::string_view payload)
 {
     const base::TimePoint time = now();
-    if (!m_know.configuration || !m_know.siblings.isSibling(from)) {
+    if (!m_state.configuration || !m_state.siblings.isSibling(from)) {
         ++m_counters.messagesIgnored;
         return;
     }
     bool taken = false;
     try {
         if (kind == wire::MessageKind::SiblingState) {
-            taken
-                = m_know.siblings.receiveState(from, incarnation, payload, *m_know.configuration, m_know.beliefs, time);
+            taken = m_state.siblings.receiveState(
+                from, incarnation, payload, *m_state.configuration, m_state.remoteServers, time);
         } else if (kind == wire::MessageKind::SiblingLeaving) {
             const auto farewell = wire::decode<SiblingLeaving>(payload);
-            taken = farewell.vm == from.value() && m_know.siblings.acceptIncarnation(from, incarnation);
+            taken = farewell.vm == from.value() && m_state.siblings.acceptIncarnation(from, incarnation);
             if (taken) {
-                leave(from, incarnation, time);
+                markLeaving(from, incarnation, time);
             }
         }
     } catch (const base::Error &error) {
@@ -314,42 +314,42 @@
         ++m_counters.messagesIgnored;
         return;
     }
-    const auto leaving = m_know.leaving.find(from);
-    if (kind == wire::MessageKind::SiblingState && leaving != m_know.leaving.end() && leaving->second.incarnation != 0
+    const auto leaving = m_state.leaving.find(from);
+    if (kind == wire::MessageKind::SiblingState && leaving != m_state.leaving.end() && leaving->second.incarnation != 0
         && leaving->second.incarnation != incarnation) {
-        m_know.leaving.erase(leaving);
+        m_state.leaving.erase(leaving);
     }
-    setInformed();
-    changed();
+    setUpToDate();
+    invalidateAssessments();
 }
 
 void HealthMonitor::Impl::tick()
 {
     const base::TimePoint time = now();
-    if (!m_know.configuration) {
+    if (!m_state.configuration) {
         return;
     }
-    if (!m_informed && time - m_wokeAt >= awakeTime) {
-        setInformed();
+    if (!m_upToDate && time - m_lastPauseEnd >= awakeTime) {
+        setUpToDate();
     }
     refreshReferences(time);
     for (const auto &[service, reference] : m_references) {
-        judgeService(service, time);
+        evaluateService(service, time);
     }
-    judgePaths(time);
-    judgeEntryEvidence(time);
-    for (const base::VmId &vm : m_know.siblings.newlySilent(time)) {
+    evaluatePaths(time);
+    evaluateEntryEvidence(time);
+    for (const base::VmId &vm : m_state.siblings.newlyUnreachable(time)) {
         report(HealthEvent{HealthEventKind::SiblingUnreachable, {}, vm, "A sibling is not heard of any more."});
     }
     sendStates(time);
     expire(time);
-    changed();
+    invalidateAssessments();
 }
 
 std::vector<base::BackendServerId> HealthMonitor::Impl::serversOf(const base::ServiceId &service) const
 {
     std::vector<base::BackendServerId> ids;
-    for (const config::BackendServer *server : m_know.configuration->serversOf(service)) {
+    for (const config::BackendServer *server : m_state.configuration->serversOf(service)) {
         ids.push_back(server->id);
     }
     return ids;
@@ -357,54 +357,55 @@
 
 void HealthMonitor::Impl::refreshReferences(base::TimePoint time)
 {
-    if (time - m_referencesAt < referenceLifetime) {
+    if (time - m_referencesUpdated < referenceLifetime) {
         return;
     }
-    m_referencesAt = time;
+    m_referencesUpdated = time;
     m_references.clear();
-    for (const auto &[id, server] : m_know.own) {
+    for (const auto &[id, server] : m_state.localServers) {
         const base::ServiceId &service = server.configured().service;
         if (!m_references.contains(service)) {
-            m_references[service] = referenceOf(serversOf(service), m_know.beliefs);
+            m_references[service] = referenceOf(serversOf(service), m_state.remoteServers);
         }
     }
 }
 
-void HealthMonitor::Impl::judgeService(const base::ServiceId &service, base::TimePoint time)
+void HealthMonitor::Impl::evaluateService(const base::ServiceId &service, base::TimePoint time)
 {
-    weighOwnServers(service, time);
-    changed();
+    updateSeverities(service, time);
+    invalidateAssessments();
     const EjectionPlan plan = assessmentOf(service, time)->plan;
-    for (auto &[id, server] : m_know.own) {
+    for (auto &[id, server] : m_state.localServers) {
         if (server.configured().service != service) {
             continue;
         }
-        for (const HealthEvent &event : server.follow(plan, time, m_references[service])) {
+        for (const HealthEvent &event : server.applyPlan(plan, time, m_references[service])) {
             report(event);
         }
     }
-    noteEjectedSet(service, plan);
+    recordEjectedSet(service, plan);
 }
 
-void HealthMonitor::Impl::weighOwnServers(const base::ServiceId &service, base::TimePoint time)
+void HealthMonitor::Impl::updateSeverities(const base::ServiceId &service, base::TimePoint time)
 {
     const auto siblings = serversOf(service);
-    const config::Service *configured = m_know.configuration->service(service);
+    const config::Service *configured = m_state.configuration->service(service);
     const double allowed = allowedFalseEjections(configured);
-    const base::Duration growTime = prefersFew(configured) ? m_know.settings.growTimeFew : m_know.settings.growTimeFast;
-    const int usual = usualSeverity(siblings, m_know.beliefs);
-    for (auto &[id, server] : m_know.own) {
+    const base::Duration growTime
+        = prefersFew(configured) ? m_state.settings.minDetectionTimeFew : m_state.settings.minDetectionTimeFast;
+    const int usual = medianSeverity(siblings, m_state.remoteServers);
+    for (auto &[id, server] : m_state.localServers) {
         if (server.configured().service != service) {
             continue;
         }
         const double rate = std::max(smallestRate, server.evidence().requestsPerSecond(time));
         server.evidence().setThreshold(
             ejectionThreshold(FalseEjectionTarget{rate, static_cast<int>(siblings.size()), allowed}));
-        server.weigh(time, m_references[service], usual, growTime);
+        server.updateSeverity(time, m_references[service], usual, growTime);
     }
 }
 
-void HealthMonitor::Impl::noteEjectedSet(const base::ServiceId &service, const EjectionPlan &plan)
+void HealthMonitor::Impl::recordEjectedSet(const base::ServiceId &service, const EjectionPlan &plan)
 {
     if (m_ejectedSets[service] == plan.ejected) {
         return;
@@ -415,20 +416,20 @@
 
 double HealthMonitor::Impl::allowedFalseEjections(const config::Service *service) const
 {
-    return prefersFew(service) ? m_know.settings.falseEjectionsFew : m_know.settings.falseEjectionsFast;
+    return prefersFew(service) ? m_state.settings.maxFalseEjectionsFew : m_state.settings.maxFalseEjectionsFast;
 }
 
 double HealthMonitor::Impl::pathThreshold(const base::VmId &vm) const
 {
     const auto found = m_prefersFew.find(vm);
     const bool few = found != m_prefersFew.end() && found->second;
-    const double allowed = few ? m_know.settings.falseEjectionsFew : m_know.settings.falseEjectionsFast;
+    const double allowed = few ? m_state.settings.maxFalseEjectionsFew : m_state.settings.maxFalseEjectionsFast;
     return ejectionThreshold(FalseEjectionTarget{entryRate, static_cast<int>(m_prefersFew.size()), allowed});
 }
 
-void HealthMonitor::Impl::judgePaths(base::TimePoint time)
+void HealthMonitor::Impl::evaluatePaths(base::TimePoint time)
 {
-    for (auto &[vm, path] : m_know.entry.paths()) {
+    for (auto &[vm, path] : m_state.entry.paths()) {
         const auto happened = path.advance(time, pathThreshold(vm));
         if (happened == HealthEventKind::PathEjected) {
             report(HealthEvent{*happened, {}, vm, "Hops to the VM are not acknowledged; its path is avoided."});
@@ -438,16 +439,16 @@
     }
 }
 
-void HealthMonitor::Impl::judgeEntryEvidence(base::TimePoint time)
+void HealthMonitor::Impl::evaluateEntryEvidence(base::TimePoint time)
 {
     std::map<base::ServiceId, std::vector<std::pair<base::Duration, double>>> seen;
-    for (const auto &[id, evidence] : m_know.entry.servers()) {
-        if (const config::BackendServer *server = m_know.configuration->backendServer(id)) {
+    for (const auto &[id, evidence] : m_state.entry.servers()) {
+        if (const config::BackendServer *server = m_state.configuration->backendServer(id)) {
             seen[server->service].emplace_back(evidence.latency(), evidence.failureShare());
         }
     }
-    for (auto &[id, evidence] : m_know.entry.servers()) {
-        const config::BackendServer *server = m_know.configuration->backendServer(id);
+    for (auto &[id, evidence] : m_state.entry.servers()) {
+        const config::BackendServer *server = m_state.configuration->backendServer(id);
         if (server == nullptr) {
             continue;
         }
@@ -466,58 +467,58 @@
     }
 }
 
-FullClaim HealthMonitor::Impl::fullClaim(const OwnServer &server, base::TimePoint time)
+FullServerStatus HealthMonitor::Impl::fullStatus(const LocalServer &server, base::TimePoint time)
 {
     const base::ServiceId &service = server.configured().service;
-    FullClaim full{service, server.claim(assessmentOf(service, time)->usualLatency, time), {}, {}};
+    FullServerStatus full{service, server.status(assessmentOf(service, time)->usualLatency, time), {}, {}};
     for (const auto &[route, latencies] : server.evidence().routes()) {
         if (latencies.size() >= tellingAnswers) {
             full.routes[route] = latencySteps(latencies.median());
         }
     }
-    if (server.evidence().shape().full()) {
-        full.shape = encodeShape(server.evidence().shape().shape());
+    if (server.evidence().histogram().full()) {
+        full.distribution = encodeDistribution(server.evidence().histogram().shape());
     }
     return full;
 }
 
 void HealthMonitor::Impl::sendStates(base::TimePoint time)
 {
-    if (!m_informed) {
+    if (!m_upToDate) {
         return;
     }
     std::set<base::ServiceId> urgent;
-    for (const auto &[id, server] : m_know.own) {
+    for (const auto &[id, server] : m_state.localServers) {
         const SiblingCondition condition = server.condition();
         const int level = condition.severity >= suspectPercent ? condition.severity / severityStep : 0;
-        const Announcement current{server.lifecycle().state(), condition.sick, level};
-        const auto [place, isNew] = m_told.try_emplace(id, current);
+        const Announcement current{server.lifecycle().state(), condition.unhealthy, level};
+        const auto [place, isNew] = m_announced.try_emplace(id, current);
         if (isNew || place->second != current) {
             urgent.insert(server.configured().service);
         }
         place->second = current;
     }
-    if (urgent.empty() && !m_know.siblings.anyDue(time)) {
+    if (urgent.empty() && !m_state.siblings.anyDue(time)) {
         return;
     }
-    std::vector<FullClaim> claims;
-    for (const auto &[id, server] : m_know.own) {
-        claims.push_back(fullClaim(server, time));
+    std::vector<FullServerStatus> claims;
+    for (const auto &[id, server] : m_state.localServers) {
+        claims.push_back(fullStatus(server, time));
     }
-    for (wire::Outgoing &message : m_know.siblings.dueMessages(claims, urgent, time)) {
+    for (wire::Outgoing &message : m_state.siblings.dueMessages(claims, urgent, time)) {
         m_outbox.push_back(std::move(message));
     }
 }
 
 void HealthMonitor::Impl::expire(base::TimePoint time)
 {
-    if (time - m_expiredAt < expiryInterval) {
+    if (time - m_lastExpiry < expiryInterval) {
         return;
     }
-    m_expiredAt = time;
-    m_know.entry.expire(time);
-    std::erase_if(m_know.beliefs, [&](const auto &entry) {
-        return entry.second.heardAt && time - *entry.second.heardAt > beliefLifetime;
+    m_lastExpiry = time;
+    m_state.entry.expire(time);
+    std::erase_if(m_state.remoteServers, [&](const auto &entry) {
+        return entry.second.receivedAt && time - *entry.second.receivedAt > beliefLifetime;
     });
 }
 
@@ -553,7 +554,7 @@
     }
     // A suspicion decides nothing and mostly passes; it would drown the lines that matter.
     if (event.kind != HealthEventKind::Suspected) {
-        PAPAYASTEP_LOG(INFO, "health") << event.sentence << base::field("event", name(event.kind))
+        PAPAYASTEP_LOG(INFO, "health") << event.description << base::field("event", name(event.kind))
                                        << base::field("vm", event.vm) << base::field("server", event.server);
     }
     m_events.push_back(event);
@@ -563,16 +564,16 @@
 {
     const base::TimePoint time = now();
     ServerReport report;
-    const OwnServer *server = own(id);
+    const LocalServer *server = localServer(id);
     if (server == nullptr) {
         return report;
     }
     const Assessment *assessment = assessmentOf(server->configured().service, time);
-    const ServerClaim claim = server->claim(assessment->usualLatency, time);
+    const ServerStatus claim = server->status(assessment->usualLatency, time);
     report.server = claim.server;
     report.serverId = id.value();
     report.state = claim.state;
-    report.informed = m_informed;
+    report.upToDate = m_upToDate;
     report.slotsInUse = claim.slotsInUse;
     report.queueLength = claim.queueLength;
     report.latencySteps = claim.latencySteps;
@@ -586,20 +587,20 @@
 const Assessment *HealthMonitor::Impl::assessmentOf(const base::ServiceId &service, base::TimePoint time)
 {
     const auto found = m_assessments.find(service);
-    const base::Duration lifetime = m_know.settings.tickInterval;
+    const base::Duration lifetime = m_state.settings.tickInterval;
     if (found != m_assessments.end() && time - found->second.first < lifetime) {
         return &found->second.second;
     }
     auto &place = m_assessments[service];
-    place = {time, assess(m_know, service, time)};
+    place = {time, assess(m_state, service, time)};
     return &place.second;
 }
 
-std::vector<base::BackendServerId> HealthMonitor::Impl::probesWanted(base::TimePoint time)
+std::vector<base::BackendServerId> HealthMonitor::Impl::serversToProbe(base::TimePoint time)
 {
     std::vector<base::BackendServerId> wanted;
-    for (const auto &[id, server] : m_know.own) {
-        const config::Service *service = m_know.configuration->service(server.configured().service);
+    for (const auto &[id, server] : m_state.localServers) {
+        const config::Service *service = m_state.configuration->service(server.configured().service);
         const auto last = server.evidence().lastFinished();
         const bool quiet = server.evidence().inFlight() == 0 && (!last || time - *last >= quietTime);
         const Admission admission = server.admission();
@@ -615,7 +616,7 @@
     return wanted;
 }
 
-HealthMonitor::HealthMonitor(const Self &self,
+HealthMonitor::HealthMonitor(const NodeIdentity &self,
                              const base::Clock &clock,
                              std::uint64_t seed,
                              const HealthSettings &settings)
@@ -642,7 +643,7 @@
 
 Admission HealthMonitor::admission(const base::BackendServerId &server) const
 {
-    const OwnServer *beside = m_impl->own(server);
+    const LocalServer *beside = m_impl->localServer(server);
     return beside != nullptr ? beside->admission() : Admission::Unknown;
 }
 
@@ -651,7 +652,7 @@
                                    const base::RouteId &route)
 {
     const base::TimePoint time = m_impl->now();
-    if (OwnServer *beside = m_impl->own(server)) {
+    if (LocalServer *beside = m_impl->localServer(server)) {
         beside->evidence().started(key, shortHash(route.value()), time);
     }
 }
@@ -662,7 +663,7 @@
                                     base::Duration latency)
 {
     const base::TimePoint time = m_impl->now();
-    OwnServer *beside = m_impl->own(server);
+    LocalServer *beside = m_impl->localServer(server);
     if (beside == nullptr) {
         return;
     }
@@ -670,40 +671,40 @@
     const auto &usual = m_impl->m_references[beside->configured().service];
     beside->evidence().finished(key, outcome, latency, time, usual);
     if (beside->evidence().lastFinished() != before) {
-        m_impl->setInformed();
+        m_impl->setUpToDate();
     }
 }
 
 void HealthMonitor::setQueueLength(const base::BackendServerId &server, int length)
 {
     m_impl->now();
-    if (OwnServer *beside = m_impl->own(server)) {
+    if (LocalServer *beside = m_impl->localServer(server)) {
         beside->setQueueLength(length);
     }
 }
 
-void HealthMonitor::healthHint(const base::BackendServerId &server, bool good)
+void HealthMonitor::probeFinished(const base::BackendServerId &server, bool good)
 {
     m_impl->now();
-    if (OwnServer *beside = m_impl->own(server)) {
-        beside->evidence().setHint(good);
+    if (LocalServer *beside = m_impl->localServer(server)) {
+        beside->evidence().setProbeResult(good);
     }
 }
 
 void HealthMonitor::hopSent(const base::VmId &vm, const base::BackendServerId &server, const AttemptKey &key)
 {
-    m_impl->m_know.entry.hopSent(vm, server, key, m_impl->now());
+    m_impl->m_state.entry.hopSent(vm, server, key, m_impl->now());
 }
 
 void HealthMonitor::hopAcknowledged(const base::VmId &vm, const AttemptKey &key)
 {
-    m_impl->hopReached(vm, [&](base::TimePoint time) { m_impl->m_know.entry.hopAcknowledged(vm, key, time); });
+    m_impl->hopReached(vm, [&](base::TimePoint time) { m_impl->m_state.entry.hopAcknowledged(vm, key, time); });
 }
 
 void HealthMonitor::hopEnded(const base::VmId &vm, const AttemptKey &key, HopOutcome outcome, base::Duration latency)
 {
     m_impl->hopReached(vm,
-                       [&](base::TimePoint time) { m_impl->m_know.entry.hopEnded(vm, key, outcome, latency, time); });
+                       [&](base::TimePoint time) { m_impl->m_state.entry.hopEnded(vm, key, outcome, latency, time); });
 }
 
 ServerReport HealthMonitor::report(const base::BackendServerId &server) const
@@ -711,9 +712,9 @@
     return m_impl->report(server);
 }
 
-void HealthMonitor::absorbReport(const base::VmId &from, const ServerReport &report)
+void HealthMonitor::applyReport(const base::VmId &from, const ServerReport &report)
 {
-    m_impl->absorbReport(from, report);
+    m_impl->applyReport(from, report);
 }
 
 void HealthMonitor::receive(const base::VmId &from,
@@ -742,14 +743,14 @@
 
 base::TimePoint HealthMonitor::nextTick() const
 {
-    return m_impl->m_clock.now() + m_impl->m_know.settings.tickInterval;
+    return m_impl->m_clock.now() + m_impl->m_state.settings.tickInterval;
 }
 
 ServerView HealthMonitor::view(const base::BackendServerId &server) const
 {
     const base::TimePoint time = m_impl->now();
     const config::BackendServer *configured
-        = m_impl->m_know.configuration ? m_impl->m_know.configuration->backendServer(server) : nullptr;
+        = m_impl->m_state.configuration ? m_impl->m_state.configuration->backendServer(server) : nullptr;
     if (configured == nullptr) {
         ServerView unknown;
         unknown.availability = Availability::Gone;
@@ -758,20 +759,20 @@
         return unknown;
     }
     ServerView view = m_impl->assessmentOf(configured->service, time)->views.at(server);
-    addLoad(view, m_impl->m_know, *configured, m_impl->assessmentOf(configured->service, time)->usualLatency, time);
+    addLoad(view, m_impl->m_state, *configured, m_impl->assessmentOf(configured->service, time)->usualLatency, time);
     return view;
 }
 
 base::Duration HealthMonitor::usualLatency(const base::ServiceId &service) const
 {
     const base::TimePoint time = m_impl->now();
-    return m_impl->m_know.configuration ? m_impl->assessmentOf(service, time)->usualLatency : base::Duration::zero();
+    return m_impl->m_state.configuration ? m_impl->assessmentOf(service, time)->usualLatency : base::Duration::zero();
 }
 
-std::vector<base::BackendServerId> HealthMonitor::probesWanted() const
+std::vector<base::BackendServerId> HealthMonitor::serversToProbe() const
 {
     const base::TimePoint time = m_impl->now();
-    return m_impl->m_know.configuration ? m_impl->probesWanted(time) : std::vector<base::BackendServerId>();
+    return m_impl->m_state.configuration ? m_impl->serversToProbe(time) : std::vector<base::BackendServerId>();
 }
 
 std::vector<HealthEvent> HealthMonitor::takeEvents()
--- a/src/health/ownserver.cpp
+++ b/src/health/localserver.cpp
@@ -1,5 +1,5 @@
 #include "latencyscale.h"
-#include "ownserver.h"
+#include "localserver.h"
 
 #include "papayastep/health/runestimate.h"
 
@@ -21,102 +21,109 @@
 
 }
 
-OwnServer::OwnServer(const config::BackendServer &configured, const HealthSettings &settings, base::TimePoint now)
+LocalServer::LocalServer(const config::BackendServer &configured, const HealthSettings &settings, base::TimePoint now)
     : m_configured(configured)
     , m_settings(settings)
     , m_lifecycle(settings, now)
-    , m_weighedAt(now)
+    , m_severityUpdated(now)
 {
 }
 
-const config::BackendServer &OwnServer::configured() const
+const config::BackendServer &LocalServer::configured() const
 {
     return m_configured;
 }
 
-void OwnServer::setConfigured(const config::BackendServer &configured)
+void LocalServer::setConfigured(const config::BackendServer &configured)
 {
     m_configured = configured;
 }
 
-ServerEvidence &OwnServer::evidence()
+ServerEvidence &LocalServer::evidence()
 {
     return m_evidence;
 }
 
-const ServerEvidence &OwnServer::evidence() const
+const ServerEvidence &LocalServer::evidence() const
 {
     return m_evidence;
 }
 
-const ServerLifecycle &OwnServer::lifecycle() const
+const ServerLifecycle &LocalServer::lifecycle() const
 {
     return m_lifecycle;
 }
 
-void OwnServer::setQueueLength(int length)
+void LocalServer::setQueueLength(int length)
 {
     m_queueLength = length;
 }
 
-int OwnServer::queueLength() const
+int LocalServer::queueLength() const
 {
     return m_queueLength;
 }
 
-bool OwnServer::handle(ServerEvent event, base::TimePoint now)
+bool LocalServer::handle(ServerEvent event, base::TimePoint now)
 {
     const bool changed = m_lifecycle.handle(event, now);
     if (changed) {
         m_evidence.resetTests();
-        m_sickSince.reset();
-        m_held = false;
+        m_unhealthySince.reset();
+        m_heldByFloor = false;
     }
     return changed;
 }
 
-bool OwnServer::outOfUse() const
+bool LocalServer::isOutOfUse() const
 {
     const ServerState state = m_lifecycle.state();
     return state == ServerState::Ejected || state == ServerState::Trial;
 }
 
-void OwnServer::weigh(base::TimePoint now, const ServiceReference &usual, int usualSeverity, base::Duration growTime)
+void LocalServer::updateSeverity(base::TimePoint now,
+                                 const ServiceReference &usual,
+                                 int usualSeverity,
+                                 base::Duration growTime)
 {
-    const double rise = std::chrono::duration<double>(now - m_weighedAt) / growTime;
-    m_weighedAt = now;
-    if (outOfUse()) {
+    const double rise = std::chrono::duration<double>(now - m_severityUpdated) / growTime;
+    m_severityUpdated = now;
+    if (isOutOfUse()) {
         return;
     }
-    m_grown = std::min(m_evidence.severity(now, usual), m_grown + rise);
-    m_severity = static_cast<int>(sickPercent * m_grown);
+    m_limitedSeverity = std::min(m_evidence.severity(now, usual), m_limitedSeverity + rise);
+    m_severity = static_cast<int>(sickPercent * m_limitedSeverity);
     int relative = m_severity - usualSeverity;
-    if (m_evidence.refusesForLong(now, m_settings, usual)) {
+    if (m_evidence.refusesPersistently(now, m_settings, usual)) {
         m_severity = deadPercent;
         relative = deadPercent;
     }
     if (relative < sickPercent) {
-        m_sickSince.reset();
-    } else if (!m_sickSince) {
-        m_sickSince = now;
+        m_unhealthySince.reset();
+    } else if (!m_unhealthySince) {
+        m_unhealthySince = now;
     }
     m_evidence.setCold(m_lifecycle.state() == ServerState::Warming);
     m_evidence.setLearning(m_severity < alarmPercent);
 }
 
-SiblingCondition OwnServer::condition() const
+SiblingCondition LocalServer::condition() const
 {
     const ServerState state = m_lifecycle.state();
     const bool gone = state == ServerState::Draining || state == ServerState::Gone;
-    const bool sick = outOfUse() || m_sickSince.has_value();
-    return SiblingCondition{m_configured.id, m_configured.slots, gone, sick, outOfUse(), m_severity};
+    const bool sick = isOutOfUse() || m_unhealthySince.has_value();
+    return SiblingCondition{m_configured.id, m_configured.slots, gone, sick, isOutOfUse(), m_severity};
 }
 
-std::vector<HealthEvent> OwnServer::follow(const EjectionPlan &plan, base::TimePoint now, const ServiceReference &usual)
+std::vector<HealthEvent> LocalServer::applyPlan(const EjectionPlan &plan,
+                                                base::TimePoint now,
+                                                const ServiceReference &usual)
 {
     std::vector<HealthEvent> events;
-    for (const auto &happened :
-         {followTime(now), followTrial(now, usual), followAlarm(now, usual), followPlan(plan, now, usual)}) {
+    for (const auto &happened : {advanceLifecycle(now),
+                                 evaluateTrial(now, usual),
+                                 updateSuspicion(now, usual),
+                                 applyEjection(plan, now, usual)}) {
         if (happened) {
             events.push_back(*happened);
         }
@@ -124,7 +131,7 @@
     return events;
 }
 
-std::optional<HealthEvent> OwnServer::followTime(base::TimePoint now)
+std::optional<HealthEvent> LocalServer::advanceLifecycle(base::TimePoint now)
 {
     if (!m_lifecycle.advance(now) || m_lifecycle.state() != ServerState::Trial) {
         return std::nullopt;
@@ -133,7 +140,7 @@
     return event(HealthEventKind::Trial, "The hold is over; a few requests show whether the server has recovered.");
 }
 
-std::optional<HealthEvent> OwnServer::followTrial(base::TimePoint now, const ServiceReference &usual)
+std::optional<HealthEvent> LocalServer::evaluateTrial(base::TimePoint now, const ServiceReference &usual)
 {
     if (m_lifecycle.state() != ServerState::Trial) {
         return std::nullopt;
@@ -145,46 +152,46 @@
     m_evidence.resetTests();
     if (*verdict) {
         m_lifecycle.handle(ServerEvent::TrialPassed, now);
-        m_sickSince.reset();
+        m_unhealthySince.reset();
         m_severity = 0;
-        m_grown = 0;
+        m_limitedSeverity = 0;
         return event(HealthEventKind::Returned, "The trial requests went well; work returns step by step.");
     }
     m_lifecycle.handle(ServerEvent::TrialFailed, now);
     return event(HealthEventKind::TrialFailed,
-                 "The trial requests went badly; the server is held for " + seconds(m_lifecycle.hold()) + '.');
+                 "The trial requests went badly; the server is held for " + seconds(m_lifecycle.ejectionTime()) + '.');
 }
 
-std::optional<HealthEvent> OwnServer::followAlarm(base::TimePoint now, const ServiceReference &usual)
+std::optional<HealthEvent> LocalServer::updateSuspicion(base::TimePoint now, const ServiceReference &usual)
 {
-    if (outOfUse()) {
+    if (isOutOfUse()) {
         return std::nullopt;
     }
     if (m_severity >= alarmPercent && m_lifecycle.handle(ServerEvent::Alarm, now)) {
         return event(HealthEventKind::Suspected, "Evidence gathers: " + m_evidence.explanation(now, usual) + '.');
     }
-    if (m_severity < calmPercent && !m_sickSince) {
+    if (m_severity < calmPercent && !m_unhealthySince) {
         m_lifecycle.handle(ServerEvent::Calm, now);
     }
     return std::nullopt;
 }
 
-std::optional<HealthEvent> OwnServer::followPlan(const EjectionPlan &plan,
-                                                 base::TimePoint now,
-                                                 const ServiceReference &usual)
+std::optional<HealthEvent> LocalServer::applyEjection(const EjectionPlan &plan,
+                                                      base::TimePoint now,
+                                                      const ServiceReference &usual)
 {
-    const bool wasHeld = m_held;
-    m_held = plan.held.contains(m_configured.id);
-    if (outOfUse()) {
+    const bool wasHeld = m_heldByFloor;
+    m_heldByFloor = plan.heldByFloor.contains(m_configured.id);
+    if (isOutOfUse()) {
         if (plan.ejected.contains(m_configured.id) || !m_lifecycle.handle(ServerEvent::Readmit, now)) {
             return std::nullopt;
         }
         return event(HealthEventKind::Readmitted, "The floor of the service needs the server back in use.");
     }
-    if (!m_sickSince) {
+    if (!m_unhealthySince) {
         return std::nullopt;
     }
-    if (m_held) {
+    if (m_heldByFloor) {
         const std::string why = "The server stays in use to keep the floor, although ";
         return wasHeld
             ? std::nullopt
@@ -192,26 +199,27 @@
     }
     // Two siblings that fall sick together would both see room for one ejection. The settle time lets their claims
     // cross, so that both work out the same plan before either leaves; else the floor could be broken for a moment.
-    const bool settled = now - *m_sickSince >= m_settings.settleTime;
+    const bool settled = now - *m_unhealthySince >= m_settings.settleTime;
     if (!settled || !plan.ejected.contains(m_configured.id) || !m_lifecycle.handle(ServerEvent::Eject, now)) {
         return std::nullopt;
     }
     return event(HealthEventKind::Ejected,
-                 "Ejected for " + seconds(m_lifecycle.hold()) + ", for " + m_evidence.explanation(now, usual) + '.');
+                 "Ejected for " + seconds(m_lifecycle.ejectionTime()) + ", for " + m_evidence.explanation(now, usual)
+                     + '.');
 }
 
-void OwnServer::distrust()
+void LocalServer::invalidate()
 {
-    m_evidence.distrustInFlight();
-    if (!outOfUse()) {
+    m_evidence.invalidateInFlight();
+    if (!isOutOfUse()) {
         m_evidence.resetTests();
-        m_sickSince.reset();
+        m_unhealthySince.reset();
         m_severity = 0;
-        m_grown = 0;
+        m_limitedSeverity = 0;
     }
 }
 
-Admission OwnServer::admission() const
+Admission LocalServer::admission() const
 {
     switch (m_lifecycle.state()) {
     case ServerState::Ejected:
@@ -227,22 +235,22 @@
     }
 }
 
-base::Duration OwnServer::latency(base::Duration usual, base::TimePoint now) const
+base::Duration LocalServer::latency(base::Duration usual, base::TimePoint now) const
 {
     const auto last = m_evidence.lastFinished();
     const bool isAtWork = m_evidence.inFlight() > 0;
-    return driftedLatency(m_evidence.recentLatency(), usual, last && !isAtWork ? now - *last : base::Duration::zero());
+    return decayedLatency(m_evidence.recentLatency(), usual, last && !isAtWork ? now - *last : base::Duration::zero());
 }
 
-ServerClaim OwnServer::claim(base::Duration usualLatency, base::TimePoint now) const
+ServerStatus LocalServer::status(base::Duration usualLatency, base::TimePoint now) const
 {
     const auto bounded
         = [](std::size_t count) { return static_cast<std::uint16_t>(std::min<std::size_t>(count, 65535)); };
-    ServerClaim claim;
+    ServerStatus claim;
     claim.server = shortHash(m_configured.id.value());
     claim.state = static_cast<std::uint8_t>(m_lifecycle.state());
     claim.severity = bounded(static_cast<std::size_t>(m_severity));
-    claim.sick = condition().sick;
+    claim.unhealthy = condition().unhealthy;
     claim.slotsInUse = bounded(m_evidence.inFlight());
     claim.queueLength = bounded(static_cast<std::size_t>(std::max(m_queueLength, 0)));
     if (m_evidence.recentLatency() > base::Duration::zero()) {
@@ -253,7 +261,7 @@
     return claim;
 }
 
-HealthEvent OwnServer::event(HealthEventKind kind, const std::string &sentence) const
+HealthEvent LocalServer::event(HealthEventKind kind, const std::string &sentence) const
 {
     return HealthEvent{kind, m_configured.id, m_configured.vm, sentence};
 }
--- a/src/health/measure.cpp
+++ b/src/health/measure.cpp
@@ -1,5 +1,5 @@
 #include "baselines.h"
-#include "latencyshape.h"
+#include "latencydistribution.h"
 #include "sequentialtest.h"
 
 #include <boost/program_options.hpp>
@@ -70,7 +70,7 @@
 class Measure
 {
 public:
-    Measure(const Options &options, const ServiceShape &shape, const std::string &variant)
+    Measure(const Options &options, const ServiceProfile &shape, const std::string &variant)
         : m_options(options)
         , m_shape(shape)
         , m_variant(variant)
@@ -150,7 +150,7 @@
             }
             figures.capacity = std::min(figures.capacity, fleet.smallestCapacity());
             const bool all = std::all_of(
-                sick.begin(), sick.end(), [&](int server) { return fleet.avoidedBy(server) >= detectedBy; });
+                sick.begin(), sick.end(), [&](int server) { return fleet.avoidedShare(server) >= detectedBy; });
             if (found == faultLimit && all) {
                 found = elapsed - faultBegin;
             }
@@ -178,7 +178,7 @@
     }
 
     const Options &m_options;
-    ServiceShape m_shape;
+    ServiceProfile m_shape;
     std::string m_variant;
 };
 
@@ -187,7 +187,7 @@
 {
     const base::Duration length = 60s;
     const HealthSettings settings;
-    for (const ServiceShape &shape : fleetServices(options.fleet)) {
+    for (const ServiceProfile &shape : fleetServices(options.fleet)) {
         Fleet fleet(shape, options.seed, [&](const base::ManualClock &clock, Link link) {
             return std::make_unique<MonitorDetector>(shape, clock, options.seed, std::move(link));
         });
@@ -197,7 +197,7 @@
         for (int vm = 0; vm < shape.servers; ++vm) {
             const HealthCounters &counters = detector.monitor(vm).counters();
             bytes += static_cast<double>(counters.bytesSent);
-            bytes += static_cast<double>(counters.messagesSent) * settings.messageOverhead;
+            bytes += static_cast<double>(counters.messagesSent) * settings.messageOverheadBytes;
         }
         nlohmann::ordered_json line;
         line["case"] = "control";
@@ -221,17 +221,17 @@
     constexpr double sigma = 0.6;
     std::mt19937_64 random(options.seed);
     std::lognormal_distribution<double> ratio(0, sigma);
-    ShapeCounter counter;
+    LatencyHistogram counter;
     for (int index = 0; index < learning; ++index) {
         counter.add(ratio(random));
     }
     const LatencyModel model(counter.shape());
-    for (const LatencyModel::Way way : {LatencyModel::Slower, LatencyModel::MuchSlower}) {
+    for (const LatencyModel::Slowdown slowdown : {LatencyModel::Slower, LatencyModel::MuchSlower}) {
         for (const double threshold : {4.0, 6.0, 8.0, 10.0}) {
             Cusum test;
             int alarms = 0;
             for (int index = 0; index < observations; ++index) {
-                test.add(model.answered(way, ratio(random)), 0, threshold);
+                test.add(model.answered(slowdown, ratio(random)), 0, threshold);
                 if (test.score() >= threshold) {
                     ++alarms;
                     test.reset();
@@ -241,7 +241,7 @@
             line["case"] = "threshold";
             line["variant"] = "papayastep";
             line["fault"] = "none";
-            line["test"] = way == LatencyModel::Slower ? "slower" : "much-slower";
+            line["test"] = slowdown == LatencyModel::Slower ? "slower" : "much-slower";
             line["threshold"] = threshold;
             line["metric"] = "false_alarms_per_million";
             line["value"] = alarms * 1e6 / observations;
@@ -255,7 +255,7 @@
 
 void runCase(const Options &options)
 {
-    for (const ServiceShape &shape : fleetServices(options.fleet)) {
+    for (const ServiceProfile &shape : fleetServices(options.fleet)) {
         if (!options.service.empty() && options.service != shape.name) {
             continue;
         }
--- a/src/health/runcalls.cpp
+++ b/src/health/nestedcalltracker.cpp
@@ -1,4 +1,4 @@
-#include "papayastep/health/runcalls.h"
+#include "papayastep/health/nestedcalltracker.h"
 
 #include <algorithm>
 
@@ -13,55 +13,55 @@
 
 }
 
-RunCalls::RunCalls(const base::Clock &clock)
+NestedCallTracker::NestedCallTracker(const base::Clock &clock)
     : m_clock(clock)
 {
 }
 
-void RunCalls::started(const AttemptKey &run, base::TimePoint deadline)
+void NestedCallTracker::runStarted(const AttemptKey &run, base::TimePoint deadline)
 {
     m_runs[run] = Run{m_clock.now(), deadline + deadlineTolerance};
 }
 
-void RunCalls::ended(const AttemptKey &run)
+void NestedCallTracker::runEnded(const AttemptKey &run)
 {
     m_runs.erase(run);
 }
 
-bool RunCalls::mayBeCall(base::TimePoint deadline) const
+bool NestedCallTracker::mayBeNestedCall(base::TimePoint deadline) const
 {
     return std::any_of(
         m_runs.begin(), m_runs.end(), [&](const auto &entry) { return deadline <= entry.second.deadline; });
 }
 
-void RunCalls::callFailed(base::TimePoint deadline)
+void NestedCallTracker::callFailed(base::TimePoint deadline)
 {
     expire();
-    m_failed.push_back({m_clock.now(), deadline});
+    m_failedCalls.push_back({m_clock.now(), deadline});
 }
 
-bool RunCalls::explainsFailure(const AttemptKey &run)
+bool NestedCallTracker::explainsFailure(const AttemptKey &run)
 {
     expire();
     const auto found = m_runs.find(run);
     if (found == m_runs.end()) {
         return false;
     }
-    const auto call = std::find_if(m_failed.begin(), m_failed.end(), [&](const FailedCall &failed) {
+    const auto call = std::find_if(m_failedCalls.begin(), m_failedCalls.end(), [&](const FailedCall &failed) {
         return failed.failedAt >= found->second.started && failed.deadline <= found->second.deadline;
     });
-    if (call == m_failed.end()) {
+    if (call == m_failedCalls.end()) {
         return false;
     }
-    m_failed.erase(call);
+    m_failedCalls.erase(call);
     return true;
 }
 
-void RunCalls::expire()
+void NestedCallTracker::expire()
 {
     const base::TimePoint oldest = m_clock.now() - failureFollowsWithin;
-    while (!m_failed.empty() && m_failed.front().failedAt < oldest) {
-        m_failed.pop_front();
+    while (!m_failedCalls.empty() && m_failedCalls.front().failedAt < oldest) {
+        m_failedCalls.pop_front();
     }
 }
 
--- a/src/health/runcalls_test.cpp
+++ b/src/health/nestedcalltracker_test.cpp
@@ -1,5 +1,5 @@
-#include "papayastep/health/failurefilter.h"
-#include "papayastep/health/runcalls.h"
+#include "papayastep/health/grayfailureestimator.h"
+#include "papayastep/health/nestedcalltracker.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -20,13 +20,13 @@
     ThreeRuns()
     {
         for (std::uint64_t number = 1; number <= 3; ++number) {
-            calls.started(run(number), start + number * 700ms);
+            calls.runStarted(run(number), start + number * 700ms);
         }
     }
 
     base::ManualClock clock;
     base::TimePoint start = clock.now();
-    RunCalls calls{clock};
+    NestedCallTracker calls{clock};
 };
 
 /// A backend server whose runs make calls, with the filter that holds it back.
@@ -35,7 +35,7 @@
     void endRun(bool callFails, bool fails)
     {
         const AttemptKey key = run(++number);
-        calls.started(key, clock.now() + 2s);
+        calls.runStarted(key, clock.now() + 2s);
         clock.advance(100ms);
         if (callFails) {
             calls.callFailed(clock.now() + 1s);
@@ -43,14 +43,14 @@
         clock.advance(1ms);
         const bool explained = (fails || callFails) && calls.explainsFailure(key);
         if (!explained) {
-            filter.noteEnd(fails ? RunEnd::Broken : RunEnd::Answered, clock.now());
+            filter.recordEnd(fails ? RunEnd::Broken : RunEnd::Answered, clock.now());
         }
-        calls.ended(key);
+        calls.runEnded(key);
     }
 
     base::ManualClock clock;
-    RunCalls calls{clock};
-    FailureFilter filter{clock.now()};
+    NestedCallTracker calls{clock};
+    GrayFailureEstimator filter{clock.now()};
     std::uint64_t number = 0;
 };
 
@@ -60,14 +60,14 @@
 
 BOOST_AUTO_TEST_CASE(request_endingWithARun_mayBeItsCall)
 {
-    BOOST_TEST(calls.mayBeCall(start + 500ms));
-    BOOST_TEST(calls.mayBeCall(start + 2102ms));
+    BOOST_TEST(calls.mayBeNestedCall(start + 500ms));
+    BOOST_TEST(calls.mayBeNestedCall(start + 2102ms));
 }
 
 // Guards against taking the failed request of a caller on the VM for the reason why a run failed.
 BOOST_AUTO_TEST_CASE(request_outlastingAllRuns_isNoCall)
 {
-    BOOST_TEST(!calls.mayBeCall(start + 3s));
+    BOOST_TEST(!calls.mayBeNestedCall(start + 3s));
     calls.callFailed(start + 3s);
     BOOST_TEST(!calls.explainsFailure(run(3)));
 }
@@ -75,9 +75,9 @@
 BOOST_AUTO_TEST_CASE(request_afterAllRunsEnded_isNoCall)
 {
     for (std::uint64_t number = 1; number <= 3; ++number) {
-        calls.ended(run(number));
+        calls.runEnded(run(number));
     }
-    BOOST_TEST(!calls.mayBeCall(start + 500ms));
+    BOOST_TEST(!calls.mayBeNestedCall(start + 500ms));
 }
 
 // Guards against holding a well server back because the calls of its runs found no room elsewhere.
@@ -102,7 +102,7 @@
 {
     calls.callFailed(start + 700ms);
     clock.advance(1ms);
-    calls.started(run(4), start + 2s);
+    calls.runStarted(run(4), start + 2s);
     BOOST_TEST(!calls.explainsFailure(run(4)));
 }
 
--- a/src/health/pathevidence.cpp
+++ b/src/health/pathevidence.cpp
@@ -25,20 +25,20 @@
 void PathEvidence::sent(const AttemptKey &key, base::TimePoint now)
 {
     m_lastUse = now;
-    m_waiting[key] = now;
+    m_unacknowledged[key] = now;
 }
 
 void PathEvidence::acknowledged(const AttemptKey &key, base::TimePoint now)
 {
-    const auto found = m_waiting.find(key);
-    if (found == m_waiting.end()) {
+    const auto found = m_unacknowledged.find(key);
+    if (found == m_unacknowledged.end()) {
         return;
     }
     const bool inTime = now - found->second < m_settings.acknowledgeLimit;
-    m_waiting.erase(found);
-    m_heardAt = now;
+    m_unacknowledged.erase(found);
+    m_lastContact = now;
     if (inTime) {
-        reached(now);
+        recordReached(now);
     }
 }
 
@@ -48,29 +48,29 @@
         acknowledged(key, now);
         return;
     }
-    if (m_waiting.erase(key) > 0 && wasReached == false) {
+    if (m_unacknowledged.erase(key) > 0 && wasReached == false) {
         m_test.add(lostEvidence, 0, scoreCap);
     }
 }
 
-void PathEvidence::reached(base::TimePoint now)
+void PathEvidence::recordReached(base::TimePoint now)
 {
     m_test.add(reachedEvidence, 0, scoreCap);
     if (m_state != PathState::Good) {
         m_test.reset();
         m_state = PathState::Good;
-        m_since = now;
+        m_stateSince = now;
     }
 }
 
-void PathEvidence::distrustInFlight()
+void PathEvidence::invalidateInFlight()
 {
-    m_waiting.clear();
+    m_unacknowledged.clear();
 }
 
 double PathEvidence::score(base::TimePoint now) const
 {
-    const auto late = std::count_if(m_waiting.begin(), m_waiting.end(), [&](const auto &entry) {
+    const auto late = std::count_if(m_unacknowledged.begin(), m_unacknowledged.end(), [&](const auto &entry) {
         return now - entry.second >= m_settings.acknowledgeLimit;
     });
     return m_test.score() + static_cast<double>(late) * lostEvidence;
@@ -80,18 +80,18 @@
 {
     const bool trialLost = m_state == PathState::Trial && score(now) >= lostEvidence;
     if (trialLost || (m_state == PathState::Good && score(now) >= threshold)) {
-        if (m_state == PathState::Good && now - m_since > forgiveAfterHolds * hold()) {
-            m_breaks = 0;
+        if (m_state == PathState::Good && now - m_stateSince > forgiveAfterHolds * ejectionTime()) {
+            m_ejections = 0;
         }
-        m_breaks = std::min(m_breaks + 1, maxBreaks);
+        m_ejections = std::min(m_ejections + 1, maxBreaks);
         m_state = PathState::Broken;
-        m_since = now;
+        m_stateSince = now;
         return HealthEventKind::PathEjected;
     }
-    if (m_state == PathState::Broken && now - m_since >= hold()) {
+    if (m_state == PathState::Broken && now - m_stateSince >= ejectionTime()) {
         m_state = PathState::Trial;
-        m_since = now;
-        m_waiting.clear();
+        m_stateSince = now;
+        m_unacknowledged.clear();
         m_test.reset();
         return HealthEventKind::PathTrial;
     }
@@ -103,20 +103,20 @@
     return m_state;
 }
 
-base::Duration PathEvidence::hold() const
+base::Duration PathEvidence::ejectionTime() const
 {
-    const auto doubled = m_settings.pathBaseHold * (std::int64_t{1} << std::max(0, m_breaks - 1));
-    return std::min<base::Duration>(doubled, m_settings.pathMaxHold);
+    const auto doubled = m_settings.basePathEjectionTime * (std::int64_t{1} << std::max(0, m_ejections - 1));
+    return std::min<base::Duration>(doubled, m_settings.maxPathEjectionTime);
 }
 
-std::optional<base::TimePoint> PathEvidence::heardAt() const
+std::optional<base::TimePoint> PathEvidence::lastContact() const
 {
-    return m_heardAt;
+    return m_lastContact;
 }
 
 bool PathEvidence::idleSince(base::TimePoint limit) const
 {
-    return m_state == PathState::Good && m_waiting.empty() && m_lastUse < limit;
+    return m_state == PathState::Good && m_unacknowledged.empty() && m_lastUse < limit;
 }
 
 }
--- a/src/health/pathevidence.h
+++ b/src/health/pathevidence.h
@@ -24,29 +24,29 @@
     /// The hop ended; `reached` if the serving node was heard of (an answer is an acknowledgement, too),
     /// empty if the end says nothing (cancelled).
     void ended(const AttemptKey &key, std::optional<bool> reached, base::TimePoint now);
-    void distrustInFlight();
+    void invalidateInFlight();
 
     /// Moves on with time. Returns the event to report, if the state changed.
     std::optional<HealthEventKind> advance(base::TimePoint now, double threshold);
 
     PathState state() const;
-    base::Duration hold() const;
+    base::Duration ejectionTime() const;
     /// The last time the VM was heard of.
-    std::optional<base::TimePoint> heardAt() const;
+    std::optional<base::TimePoint> lastContact() const;
     bool idleSince(base::TimePoint limit) const;
 
 private:
     double score(base::TimePoint now) const;
-    void reached(base::TimePoint now);
+    void recordReached(base::TimePoint now);
 
     HealthSettings m_settings;
-    std::unordered_map<AttemptKey, base::TimePoint> m_waiting; ///< Sent and not acknowledged.
+    std::unordered_map<AttemptKey, base::TimePoint> m_unacknowledged; ///< Sent and not acknowledged.
     Cusum m_test;
     PathState m_state = PathState::Good;
-    base::TimePoint m_since;
+    base::TimePoint m_stateSince;
     base::TimePoint m_lastUse;
-    std::optional<base::TimePoint> m_heardAt;
-    int m_breaks = 0;
+    std::optional<base::TimePoint> m_lastContact;
+    int m_ejections = 0;
 };
 
 }
--- a/src/health/pausewatch_test.cpp
+++ b/src/health/pausedetector_test.cpp
@@ -1,4 +1,4 @@
-#include "papayastep/health/pausewatch.h"
+#include "papayastep/health/pausedetector.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -11,27 +11,27 @@
 BOOST_AUTO_TEST_CASE(pause_betweenTwoLooks_isSeenForAllThatBeganBefore)
 {
     base::ManualClock clock;
-    PauseWatch watch(clock);
+    PauseDetector watch(clock);
     clock.advance(500ms);
-    watch.look();
+    watch.check();
     const base::TimePoint before = clock.now();
     clock.advance(3s);
-    watch.look();
-    BOOST_TEST(watch.stoodStillSince(before));
-    BOOST_TEST(!watch.stoodStillSince(clock.now()));
+    watch.check();
+    BOOST_TEST(watch.pausedSince(before));
+    BOOST_TEST(!watch.pausedSince(clock.now()));
     clock.advance(500ms);
-    watch.look();
-    BOOST_TEST(watch.stoodStillSince(before));
+    watch.check();
+    BOOST_TEST(watch.pausedSince(before));
 }
 
 BOOST_AUTO_TEST_CASE(pause_whereLooksComeInTime_isNone)
 {
     base::ManualClock clock;
-    PauseWatch watch(clock);
+    PauseDetector watch(clock);
     const base::TimePoint start = clock.now();
     for (int i = 0; i < 10; ++i) {
         clock.advance(900ms);
-        watch.look();
+        watch.check();
     }
-    BOOST_TEST(!watch.stoodStillSince(start));
+    BOOST_TEST(!watch.pausedSince(start));
 }
--- a/src/health/belief.cpp
+++ b/src/health/remoteserver.cpp
@@ -1,4 +1,4 @@
-#include "belief.h"
+#include "remoteserver.h"
 
 #include <utility>
 
@@ -10,7 +10,7 @@
 
 }
 
-void Belief::setState(std::uint8_t told, base::TimePoint now)
+void RemoteServer::setState(std::uint8_t told, base::TimePoint now)
 {
     // A newer node may know more states than this one; what can't be understood is not believed.
     if (told >= serverStateCount || static_cast<ServerState>(told) == state) {
@@ -20,49 +20,50 @@
     stateSince = now;
 }
 
-void Belief::absorb(const ServerClaim &claim, base::TimePoint now)
+void RemoteServer::update(const ServerStatus &claim, base::TimePoint now)
 {
     setState(claim.state, now);
-    sick = claim.sick;
+    unhealthy = claim.unhealthy;
     severity = claim.severity;
     slotsInUse = claim.slotsInUse;
     queueLength = claim.queueLength;
     latencySteps = claim.latencySteps;
     failureShare = claim.failurePermille / 1000.0;
     accepting = claim.accepting;
-    heardAt = now;
+    receivedAt = now;
     for (const RouteLatency &route : claim.routes) {
         if (routes.contains(route.route) || routes.size() < maxRoutes) {
             routes[route.route] = route.steps;
         }
     }
-    LatencyShape told{};
-    if (decodeShape(claim.shape, told)) {
-        shape = told;
+    LatencyDistribution told{};
+    if (decodeDistribution(claim.distribution, told)) {
+        distribution = told;
     }
 }
 
-void Belief::absorb(const ServerReport &report, base::TimePoint now)
+void RemoteServer::absorb(const ServerReport &report, base::TimePoint now)
 {
     setState(report.state, now);
-    sick = state == ServerState::Ejected || state == ServerState::Trial;
+    unhealthy = state == ServerState::Ejected || state == ServerState::Trial;
     slotsInUse = report.slotsInUse;
     queueLength = report.queueLength;
     latencySteps = report.latencySteps;
-    heardAt = now;
+    receivedAt = now;
 }
 
-void Belief::distrust()
+void RemoteServer::invalidate()
 {
-    Belief fresh;
+    RemoteServer fresh;
     fresh.routes = std::move(routes);
-    fresh.shape = shape;
+    fresh.distribution = distribution;
     *this = std::move(fresh);
 }
 
-bool Belief::working() const
+bool RemoteServer::takesWork() const
 {
-    return !sick && (state == ServerState::Healthy || state == ServerState::Warming || state == ServerState::Suspect);
+    return !unhealthy
+        && (state == ServerState::Healthy || state == ServerState::Warming || state == ServerState::Suspect);
 }
 
 }
--- a/src/health/belief.h
+++ b/src/health/remoteserver.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "latencyshape.h"
+#include "latencydistribution.h"
 
 #include "papayastep/base/clock.h"
 #include "papayastep/health/messages.h"
@@ -13,30 +13,30 @@
 namespace papayastep::health {
 
 /// What this node was told about a backend server elsewhere, by the node beside it.
-struct Belief
+struct RemoteServer
 {
     ServerState state = ServerState::Healthy;
     base::TimePoint stateSince; ///< When this node first heard of the state.
-    bool sick = false;
+    bool unhealthy = false;
     int severity = 0;
     int slotsInUse = 0;
     int queueLength = 0;
     std::uint8_t latencySteps = 0;
     double failureShare = 0;
     bool accepting = true;
-    std::optional<base::TimePoint> heardAt;
+    std::optional<base::TimePoint> receivedAt;
     std::unordered_map<std::uint32_t, std::uint8_t> routes; ///< Latency steps by route hash. Siblings only.
-    std::optional<LatencyShape> shape; ///< Siblings only.
+    std::optional<LatencyDistribution> distribution; ///< Siblings only.
 
     void setState(std::uint8_t told, base::TimePoint now);
-    void absorb(const ServerClaim &claim, base::TimePoint now);
+    void update(const ServerStatus &claim, base::TimePoint now);
     void absorb(const ServerReport &report, base::TimePoint now);
 
     /// Keeps only what changes slowly: the usual latencies.
-    void distrust();
+    void invalidate();
 
     /// Takes a share of ordinary work, so its figures say what is usual.
-    bool working() const;
+    bool takesWork() const;
 };
 
 }
--- a/src/health/medianring.h
+++ b/src/health/rollingmedian.h
@@ -9,7 +9,7 @@
 namespace papayastep::health {
 
 /// The median of the last latencies. A median, because one stuck request must not move what counts as usual.
-class MedianRing
+class RollingMedian
 {
 public:
     void add(base::Duration latency)
--- a/src/health/runestimate.cpp
+++ b/src/health/runestimate.cpp
@@ -11,7 +11,7 @@
 /// a second, one that is several times as slow after two.
 constexpr std::chrono::duration<double> driftTime = std::chrono::seconds(1);
 
-/// Mean run times after which an attempt is overdue. See FailureFilterSettings::wellOverdue.
+/// Mean run times after which an attempt is overdue. See GrayFailureEstimatorSettings::healthyOverdueRate.
 constexpr int overdueRuns = 3;
 /// Shorter runs are not watched: scheduling on a shared core takes some tens of milliseconds by itself.
 constexpr base::Duration shortestOverdue = std::chrono::milliseconds(200);
@@ -22,7 +22,7 @@
 
 }
 
-base::Duration driftedLatency(base::Duration measured, base::Duration usual, base::Duration age)
+base::Duration decayedLatency(base::Duration measured, base::Duration usual, base::Duration age)
 {
     if (usual <= base::Duration::zero()) {
         return measured;
--- a/src/health/runestimate_test.cpp
+++ b/src/health/runestimate_test.cpp
@@ -10,16 +10,16 @@
 // free, so nothing can show that it is as quick as they are: callers then crowd at the others, though one stands idle.
 BOOST_AUTO_TEST_CASE(latency_measuredLongAgo_driftsToWhatSiblingsTake)
 {
-    BOOST_TEST((driftedLatency(600ms, 300ms, 0ms) == 600ms));
-    BOOST_TEST((driftedLatency(600ms, 300ms, 1s) < 450ms));
-    BOOST_TEST((driftedLatency(600ms, 300ms, 5s) < 310ms));
-    BOOST_TEST((driftedLatency(100ms, 300ms, 5s) > 290ms));
+    BOOST_TEST((decayedLatency(600ms, 300ms, 0ms) == 600ms));
+    BOOST_TEST((decayedLatency(600ms, 300ms, 1s) < 450ms));
+    BOOST_TEST((decayedLatency(600ms, 300ms, 5s) < 310ms));
+    BOOST_TEST((decayedLatency(100ms, 300ms, 5s) > 290ms));
 }
 
 BOOST_AUTO_TEST_CASE(latency_withoutSiblingsOrAnswers_isWhatIsKnown)
 {
-    BOOST_TEST((driftedLatency(600ms, 0ms, 5s) == 600ms));
-    BOOST_TEST((driftedLatency(0ms, 300ms, 0ms) == 300ms));
+    BOOST_TEST((decayedLatency(600ms, 0ms, 5s) == 600ms));
+    BOOST_TEST((decayedLatency(0ms, 300ms, 0ms) == 300ms));
 }
 
 // A server has just joined, or the node beside it has restarted, and nobody knows its run times. Judged by a guess that
--- a/src/health/serverevidence.cpp
+++ b/src/health/serverevidence.cpp
@@ -50,7 +50,7 @@
 void ServerEvidence::started(const AttemptKey &key, std::uint32_t route, base::TimePoint now)
 {
     m_rate = requestsPerSecond(now) + 1 / seconds(rateWindow);
-    m_rateAt = now;
+    m_rateUpdated = now;
     m_inFlight[key] = InFlight{now, route, true, m_trialRunning};
 }
 
@@ -66,17 +66,17 @@
     }
     const InFlight attempt = found->second;
     m_inFlight.erase(found);
-    if (!attempt.trusted) {
+    if (!attempt.valid) {
         return;
     }
     m_lastFinished = now;
-    noteAcceptance(attempt, outcome, now);
+    recordAcceptance(attempt, outcome, now);
     if (isRefusal(outcome)) {
         m_trialRefusals += attempt.inTrial ? 1 : 0;
         return;
     }
     if (outcome == AttemptOutcome::CancelledByUs) {
-        noteTimeout(attempt, latency, usual);
+        recordTimeout(attempt, latency, usual);
         return;
     }
     if (outcome == AttemptOutcome::CallFailed) {
@@ -87,20 +87,20 @@
     addEvidence(FailureTest, failed ? failures.failed : failures.good, attempt.inTrial);
     m_failureShare += failureWeight * ((failed ? 1.0 : 0.0) - m_failureShare);
     if (outcome == AttemptOutcome::Success) {
-        noteSuccess(attempt, latency, usual);
+        recordSuccess(attempt, latency, usual);
     } else if (outcome == AttemptOutcome::Timeout) {
-        noteTimeout(attempt, latency, usual);
+        recordTimeout(attempt, latency, usual);
     }
 }
 
-void ServerEvidence::noteAcceptance(const InFlight &attempt, AttemptOutcome outcome, base::TimePoint now)
+void ServerEvidence::recordAcceptance(const InFlight &attempt, AttemptOutcome outcome, base::TimePoint now)
 {
     if (outcome == AttemptOutcome::CancelledByUs) {
         return;
     }
     if (!isRefusal(outcome)) {
         // The late end of an attempt from before the refusals does not show that the server takes work now.
-        if (m_refusingSince && attempt.since < *m_refusingSince) {
+        if (m_refusingSince && attempt.startedAt < *m_refusingSince) {
             return;
         }
         m_refusingSince.reset();
@@ -115,7 +115,7 @@
     ++m_refusals;
 }
 
-void ServerEvidence::noteSuccess(const InFlight &attempt, base::Duration latency, const ServiceReference &usual)
+void ServerEvidence::recordSuccess(const InFlight &attempt, base::Duration latency, const ServiceReference &usual)
 {
     m_recent.add(latency);
     if (m_routes.contains(attempt.route) || m_routes.size() < maxRoutes) {
@@ -141,11 +141,11 @@
 // decays slowly from teaching its own decay.
 void ServerEvidence::learn(double ratio)
 {
-    m_shape.add(ratio);
-    m_offset = std::clamp(m_offset + (ratio > 1 ? offsetStep : -offsetStep), -largestOffset, largestOffset);
+    m_histogram.add(ratio);
+    m_usualOffset = std::clamp(m_usualOffset + (ratio > 1 ? offsetStep : -offsetStep), -largestOffset, largestOffset);
 }
 
-void ServerEvidence::noteTimeout(const InFlight &attempt, base::Duration latency, const ServiceReference &usual)
+void ServerEvidence::recordTimeout(const InFlight &attempt, base::Duration latency, const ServiceReference &usual)
 {
     const auto times = ratio(attempt.route, latency, usual);
     if (!times) {
@@ -160,7 +160,7 @@
     if (inTrial) {
         m_trialScores[test] += evidence;
     }
-    m_tests[test].add(evidence, m_base, scoreCap * m_threshold);
+    m_tests[test].add(evidence, m_baseScore, scoreCap * m_threshold);
 }
 
 std::optional<double> ServerEvidence::ratio(std::uint32_t route,
@@ -176,7 +176,7 @@
     if (reference <= base::Duration::zero()) {
         return std::nullopt;
     }
-    return seconds(latency) / seconds(reference) / std::exp2(m_offset);
+    return seconds(latency) / seconds(reference) / std::exp2(m_usualOffset);
 }
 
 void ServerEvidence::setThreshold(double threshold)
@@ -189,9 +189,9 @@
     return m_threshold;
 }
 
-void ServerEvidence::setHint(bool good)
+void ServerEvidence::setProbeResult(bool good)
 {
-    m_base = good ? 0 : hintHeadStart;
+    m_baseScore = good ? 0 : hintHeadStart;
 }
 
 void ServerEvidence::setCold(bool cold)
@@ -199,16 +199,16 @@
     m_cold = cold;
 }
 
-void ServerEvidence::addWaiting(Scores &scores,
-                                bool trialOnly,
-                                base::TimePoint now,
-                                const ServiceReference &usual) const
+void ServerEvidence::addInFlight(Scores &scores,
+                                 bool trialOnly,
+                                 base::TimePoint now,
+                                 const ServiceReference &usual) const
 {
     for (const auto &[key, attempt] : m_inFlight) {
-        if (!attempt.trusted || (trialOnly && !attempt.inTrial)) {
+        if (!attempt.valid || (trialOnly && !attempt.inTrial)) {
             continue;
         }
-        if (const auto times = ratio(attempt.route, now - attempt.since, usual)) {
+        if (const auto times = ratio(attempt.route, now - attempt.startedAt, usual)) {
             scores[SlowerTest] += usual.model.waiting(LatencyModel::Slower, *times);
             scores[MuchSlowerTest] += usual.model.waiting(LatencyModel::MuchSlower, *times);
         }
@@ -219,7 +219,7 @@
 {
     Scores result{};
     std::transform(m_tests.begin(), m_tests.end(), result.begin(), [](const Cusum &test) { return test.score(); });
-    addWaiting(result, false, now, usual);
+    addInFlight(result, false, now, usual);
     return result;
 }
 
@@ -229,9 +229,9 @@
     return std::min(*std::max_element(all.begin(), all.end()) / m_threshold, scoreCap);
 }
 
-bool ServerEvidence::refusesForLong(base::TimePoint now,
-                                    const HealthSettings &settings,
-                                    const ServiceReference &usual) const
+bool ServerEvidence::refusesPersistently(base::TimePoint now,
+                                         const HealthSettings &settings,
+                                         const ServiceReference &usual) const
 {
     if (!m_refusingSince || m_refusals < persistentRefusals || !usual.siblingsAccept) {
         return false;
@@ -268,10 +268,10 @@
     m_trialRunning = false;
 }
 
-void ServerEvidence::distrustInFlight()
+void ServerEvidence::invalidateInFlight()
 {
     for (auto &[key, attempt] : m_inFlight) {
-        attempt.trusted = false;
+        attempt.valid = false;
     }
 }
 
@@ -279,7 +279,7 @@
 {
     resetTests();
     for (auto &[key, attempt] : m_inFlight) {
-        attempt.trusted = false;
+        attempt.valid = false;
         attempt.inTrial = false;
     }
     m_trialScores.fill(0);
@@ -292,7 +292,7 @@
 std::optional<bool> ServerEvidence::trialVerdict(base::TimePoint now, const ServiceReference &usual) const
 {
     Scores all = m_trialScores;
-    addWaiting(all, true, now, usual);
+    addInFlight(all, true, now, usual);
     const double worst = *std::max_element(all.begin(), all.end());
     if (worst >= trialReject || m_trialRefusals >= trialMaxRefusals) {
         return false;
@@ -322,7 +322,7 @@
 
 double ServerEvidence::requestsPerSecond(base::TimePoint now) const
 {
-    return m_rate * std::exp(-seconds(now - m_rateAt) / seconds(rateWindow));
+    return m_rate * std::exp(-seconds(now - m_rateUpdated) / seconds(rateWindow));
 }
 
 base::Duration ServerEvidence::recentLatency() const
@@ -335,14 +335,14 @@
     return m_failureShare;
 }
 
-const std::unordered_map<std::uint32_t, MedianRing> &ServerEvidence::routes() const
+const std::unordered_map<std::uint32_t, RollingMedian> &ServerEvidence::routes() const
 {
     return m_routes;
 }
 
-const ShapeCounter &ServerEvidence::shape() const
+const LatencyHistogram &ServerEvidence::histogram() const
 {
-    return m_shape;
+    return m_histogram;
 }
 
 void ServerEvidence::setLearning(bool learning)
--- a/src/health/serverevidence.h
+++ b/src/health/serverevidence.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "latencyshape.h"
-#include "medianring.h"
+#include "latencydistribution.h"
+#include "rollingmedian.h"
 #include "sequentialtest.h"
 
 #include "papayastep/health/attempt.h"
@@ -20,7 +20,7 @@
 /// What is usual for a service, as its siblings tell it: the yardstick of every test.
 struct ServiceReference
 {
-    LatencyModel model{defaultShape()};
+    LatencyModel model{defaultDistribution()};
     std::unordered_map<std::uint32_t, base::Duration> routeLatency; ///< Median over siblings, by route hash.
     double failureShare = 0; ///< Median over siblings.
     bool siblingsAccept = true; ///< Most siblings take work.
@@ -43,13 +43,13 @@
     double threshold() const;
     /// A cold server may be slower than its siblings for a while.
     void setCold(bool cold);
-    /// See HealthMonitor::healthHint().
-    void setHint(bool good);
+    /// See HealthMonitor::probeFinished().
+    void setProbeResult(bool good);
 
     /// Evidence of sickness as a share of the threshold, attempts in flight included.
     double severity(base::TimePoint now, const ServiceReference &usual) const;
     /// Only refused or shed attempts for so long, while siblings accept: a dead or stuck process.
-    bool refusesForLong(base::TimePoint now, const HealthSettings &settings, const ServiceReference &usual) const;
+    bool refusesPersistently(base::TimePoint now, const HealthSettings &settings, const ServiceReference &usual) const;
     /// At the moment it takes no work.
     bool accepting() const;
     /// Why the severity is what it is, for a log line.
@@ -58,7 +58,7 @@
     /// Forgets the tests, for a server that begins anew.
     void resetTests();
     /// Attempts in flight no longer count, not even when they end: their age includes time that this process slept.
-    void distrustInFlight();
+    void invalidateInFlight();
 
     /// Starts counting for a trial.
     void beginTrial();
@@ -72,47 +72,47 @@
     double requestsPerSecond(base::TimePoint now) const;
     base::Duration recentLatency() const;
     double failureShare() const;
-    const std::unordered_map<std::uint32_t, MedianRing> &routes() const;
-    const ShapeCounter &shape() const;
+    const std::unordered_map<std::uint32_t, RollingMedian> &routes() const;
+    const LatencyHistogram &histogram() const;
     /// Whether ended attempts teach the shape; off while the server is suspect or worse.
     void setLearning(bool learning);
 
 private:
     struct InFlight
     {
-        base::TimePoint since;
+        base::TimePoint startedAt;
         std::uint32_t route = 0;
-        bool trusted = true;
+        bool valid = true;
         bool inTrial = false;
     };
     using Scores = std::array<double, testsPerServer>;
 
     std::optional<double> ratio(std::uint32_t route, base::Duration latency, const ServiceReference &usual) const;
     Scores scores(base::TimePoint now, const ServiceReference &usual) const;
-    void addWaiting(Scores &scores, bool trialOnly, base::TimePoint now, const ServiceReference &usual) const;
+    void addInFlight(Scores &scores, bool trialOnly, base::TimePoint now, const ServiceReference &usual) const;
     void addEvidence(std::size_t test, double evidence, bool inTrial);
-    void noteAcceptance(const InFlight &attempt, AttemptOutcome outcome, base::TimePoint now);
+    void recordAcceptance(const InFlight &attempt, AttemptOutcome outcome, base::TimePoint now);
     void learn(double ratio);
-    void noteSuccess(const InFlight &attempt, base::Duration latency, const ServiceReference &usual);
-    void noteTimeout(const InFlight &attempt, base::Duration latency, const ServiceReference &usual);
+    void recordSuccess(const InFlight &attempt, base::Duration latency, const ServiceReference &usual);
+    void recordTimeout(const InFlight &attempt, base::Duration latency, const ServiceReference &usual);
 
     std::unordered_map<AttemptKey, InFlight> m_inFlight;
-    std::unordered_map<std::uint32_t, MedianRing> m_routes;
-    MedianRing m_recent;
-    ShapeCounter m_shape;
+    std::unordered_map<std::uint32_t, RollingMedian> m_routes;
+    RollingMedian m_recent;
+    LatencyHistogram m_histogram;
     std::array<Cusum, testsPerServer> m_tests;
     double m_threshold = 15;
-    double m_base = 0;
+    double m_baseScore = 0;
     double m_failureShare = 0;
     double m_rate = 0;
-    base::TimePoint m_rateAt;
+    base::TimePoint m_rateUpdated;
     std::optional<base::TimePoint> m_lastFinished;
     std::optional<base::TimePoint> m_refusingSince;
     bool m_onlyShed = false;
     int m_refusals = 0;
     bool m_learning = true;
     bool m_cold = true;
-    double m_offset = 0; ///< Octaves by which the server usually is slower than its siblings, within bounds.
+    double m_usualOffset = 0; ///< Octaves by which the server usually is slower than its siblings, within bounds.
 
     Scores m_trialScores{};
     int m_trialSuccesses = 0;
--- a/src/health/serverhold.cpp
+++ b/src/health/serverhold.cpp
@@ -29,49 +29,49 @@
 }
 
 ServerHold::ServerHold(base::TimePoint now)
-    : m_filter(now)
+    : m_estimator(now)
 {
 }
 
 bool ServerHold::admits(bool idempotent, base::TimePoint now) const
 {
-    return m_filter.admits(idempotent, m_scout.has_value(), now);
+    return m_estimator.admits(idempotent, m_trialAttempt.has_value(), now);
 }
 
 void ServerHold::started(const AttemptKey &attempt, base::TimePoint now)
 {
-    if (!m_scout && m_filter.wantsScout(now)) {
-        m_scout = attempt;
+    if (!m_trialAttempt && m_estimator.needsTrial(now)) {
+        m_trialAttempt = attempt;
     }
 }
 
 HoldChange ServerHold::ended(const AttemptKey &attempt, AttemptOutcome outcome, base::TimePoint now)
 {
-    if (m_scout == attempt) {
-        m_scout.reset();
+    if (m_trialAttempt == attempt) {
+        m_trialAttempt.reset();
     }
     const auto end = evidenceOf(outcome);
     if (!end) {
         return HoldChange::None;
     }
-    const bool wasHeld = m_filter.isHeld(now);
-    m_filter.noteEnd(*end, now);
+    const bool wasHeld = m_estimator.isHeld(now);
+    m_estimator.recordEnd(*end, now);
     if (*end != RunEnd::Answered) {
-        return noteFailure(wasHeld, now);
+        return recordFailure(wasHeld, now);
     }
     return std::exchange(m_heldBack, false) ? HoldChange::Returned : HoldChange::None;
 }
 
-HoldChange ServerHold::noteOverdue(base::TimePoint now)
+HoldChange ServerHold::recordOverdue(base::TimePoint now)
 {
-    const bool wasHeld = m_filter.isHeld(now);
-    m_filter.noteOverdue(now);
-    return noteFailure(wasHeld, now);
+    const bool wasHeld = m_estimator.isHeld(now);
+    m_estimator.recordOverdue(now);
+    return recordFailure(wasHeld, now);
 }
 
-HoldChange ServerHold::noteFailure(bool wasHeld, base::TimePoint now)
+HoldChange ServerHold::recordFailure(bool wasHeld, base::TimePoint now)
 {
-    if (wasHeld || !m_filter.isHeld(now)) {
+    if (wasHeld || !m_estimator.isHeld(now)) {
         return HoldChange::None;
     }
     m_heldBack = true;
@@ -80,7 +80,7 @@
 
 double ServerHold::grayProbability(base::TimePoint now) const
 {
-    return m_filter.grayProbability(now);
+    return m_estimator.grayProbability(now);
 }
 
 bool ServerHold::isHeldBack() const
--- a/src/health/serverhold_test.cpp
+++ b/src/health/serverhold_test.cpp
@@ -72,10 +72,10 @@
 
 BOOST_AUTO_TEST_CASE(server_withOverdueRuns_isHeld)
 {
-    BOOST_TEST((hold.noteOverdue(clock.now()) == HoldChange::None));
+    BOOST_TEST((hold.recordOverdue(clock.now()) == HoldChange::None));
     int held = 0;
     for (int i = 0; i < 3; ++i) {
-        held += hold.noteOverdue(clock.now()) == HoldChange::Held ? 1 : 0;
+        held += hold.recordOverdue(clock.now()) == HoldChange::Held ? 1 : 0;
     }
     BOOST_TEST(held == 1);
     BOOST_TEST(!hold.admits(true, clock.now()));
--- a/src/health/serverlifecycle.cpp
+++ b/src/health/serverlifecycle.cpp
@@ -55,8 +55,8 @@
     : m_settings(settings)
     , m_machine(serverChart())
     , m_since(now)
-    , m_warmSince(now)
-    , m_calmSince(now)
+    , m_warmingSince(now)
+    , m_decaySince(now)
 {
 }
 
@@ -79,18 +79,18 @@
         return m_settings.trialWeight;
     case ServerState::Warming:
     case ServerState::Suspect: {
-        const double share = std::chrono::duration<double>(now - m_warmSince) / m_settings.warmTime;
-        return std::clamp(share, m_settings.warmWeight, 1.0);
+        const double share = std::chrono::duration<double>(now - m_warmingSince) / m_settings.warmingTime;
+        return std::clamp(share, m_settings.warmingStartWeight, 1.0);
     }
     default:
         return 0;
     }
 }
 
-base::Duration ServerLifecycle::hold() const
+base::Duration ServerLifecycle::ejectionTime() const
 {
-    const auto doubled = m_settings.baseHold * (std::int64_t{1} << std::max(0, m_ejections - 1));
-    return std::min<base::Duration>(doubled, m_settings.maxHold);
+    const auto doubled = m_settings.baseEjectionTime * (std::int64_t{1} << std::max(0, m_ejections - 1));
+    return std::min<base::Duration>(doubled, m_settings.maxEjectionTime);
 }
 
 bool ServerLifecycle::handle(ServerEvent event, base::TimePoint now)
@@ -98,46 +98,46 @@
     if (!m_machine.accepts(event)) {
         return false;
     }
-    decayHold(now);
+    decayEjections(now);
     m_machine.handle(event);
     m_since = now;
     if (event == ServerEvent::Eject || event == ServerEvent::TrialFailed) {
-        noteEjection();
+        recordEjection();
     }
     if (state() == ServerState::Warming) {
-        m_warmSince = now;
-        m_calmSince = now;
+        m_warmingSince = now;
+        m_decaySince = now;
     }
     return true;
 }
 
 bool ServerLifecycle::advance(base::TimePoint now)
 {
-    if (state() == ServerState::Ejected && now - m_since >= hold()) {
+    if (state() == ServerState::Ejected && now - m_since >= ejectionTime()) {
         return handle(ServerEvent::HoldOver, now);
     }
-    if (state() == ServerState::Warming && now - m_warmSince >= m_settings.warmTime) {
+    if (state() == ServerState::Warming && now - m_warmingSince >= m_settings.warmingTime) {
         return handle(ServerEvent::Warmed, now);
     }
     return false;
 }
 
-void ServerLifecycle::noteEjection()
+void ServerLifecycle::recordEjection()
 {
     m_ejections = std::min(m_ejections + 1, maxEjections);
 }
 
 // A server that flaps is ejected again soon after each return. Without a memory of earlier ejections callers would
 // meet the sick phase every few seconds; so each one doubles the hold, and only calm time halves it again.
-void ServerLifecycle::decayHold(base::TimePoint now)
+void ServerLifecycle::decayEjections(base::TimePoint now)
 {
     const bool calm = state() == ServerState::Healthy || state() == ServerState::Warming;
     if (!calm) {
         return;
     }
-    const auto halvings = (now - m_calmSince) / m_settings.holdDecay;
+    const auto halvings = (now - m_decaySince) / m_settings.ejectionDecayTime;
     m_ejections = std::max<int>(0, m_ejections - static_cast<int>(halvings));
-    m_calmSince += halvings * m_settings.holdDecay;
+    m_decaySince += halvings * m_settings.ejectionDecayTime;
 }
 
 }
--- a/src/health/serverlifecycle.h
+++ b/src/health/serverlifecycle.h
@@ -16,7 +16,7 @@
     base::TimePoint since() const;
     /// The share of work it should get.
     double weight(base::TimePoint now) const;
-    base::Duration hold() const;
+    base::Duration ejectionTime() const;
 
     /// Takes `event` if the chart has a transition for it here. Returns whether the state changed.
     bool handle(ServerEvent event, base::TimePoint now);
@@ -24,14 +24,14 @@
     bool advance(base::TimePoint now);
 
 private:
-    void noteEjection();
-    void decayHold(base::TimePoint now);
+    void recordEjection();
+    void decayEjections(base::TimePoint now);
 
     HealthSettings m_settings;
     base::StateMachine<ServerState, ServerEvent> m_machine;
     base::TimePoint m_since;
-    base::TimePoint m_warmSince;
-    base::TimePoint m_calmSince; ///< Since when the hold time has been fading.
+    base::TimePoint m_warmingSince;
+    base::TimePoint m_decaySince; ///< Since when the hold time has been fading.
     int m_ejections = 0; ///< Recent ones, faded; the exponent of the hold time.
 };
 
--- a/src/health/siblings_test.cpp
+++ b/src/health/siblings_test.cpp
@@ -25,7 +25,7 @@
 struct OneNode
 {
     base::ManualClock clock;
-    HealthMonitor monitor{Self{vmId(0), 1}, clock, 1};
+    HealthMonitor monitor{NodeIdentity{vmId(0), 1}, clock, 1};
     config::Configuration::Parts parts;
     std::uint64_t version = 0;
 
@@ -56,17 +56,17 @@
         }
     }
 
-    static ServerClaim claimOf(int index, ServerState state = ServerState::Healthy)
+    static ServerStatus claimOf(int index, ServerState state = ServerState::Healthy)
     {
-        ServerClaim claim;
+        ServerStatus claim;
         claim.server = shortHash(serverId(index).value());
         claim.state = static_cast<std::uint8_t>(state);
-        claim.sick = state == ServerState::Ejected;
+        claim.unhealthy = state == ServerState::Ejected;
         claim.latencySteps = latencySteps(30ms);
         return claim;
     }
 
-    void hear(int from, const ServerClaim &claim, base::Incarnation incarnation = 7)
+    void hear(int from, const ServerStatus &claim, base::Incarnation incarnation = 7)
     {
         SiblingState state;
         state.version = ++version;
@@ -86,7 +86,7 @@
         ServerReport report;
         report.serverId = serverId(index).value();
         report.state = static_cast<std::uint8_t>(ServerState::Healthy);
-        report.informed = true;
+        report.upToDate = true;
         for (const int server : ejected) {
             report.ejected.push_back(shortHash(serverId(server).value()));
         }
@@ -106,7 +106,7 @@
 BOOST_FIXTURE_TEST_CASE(server_slowSomeTimeAgo_isTakenForAsQuickAsItsSiblings, OneNode)
 {
     hearAllHealthy();
-    ServerClaim slow = claimOf(2);
+    ServerStatus slow = claimOf(2);
     slow.latencySteps = latencySteps(300ms);
     hear(2, slow);
     for (std::uint64_t number = 1; number <= 4; ++number) {
@@ -182,7 +182,7 @@
 BOOST_FIXTURE_TEST_CASE(sibling_lyingAboutItsLoad_isBoundedByWhatIsSeen, OneNode)
 {
     hearAllHealthy();
-    ServerClaim liar = claimOf(1);
+    ServerStatus liar = claimOf(1);
     liar.latencySteps = 1;
     hear(1, liar);
     for (std::uint32_t attempt = 0; attempt < 3; ++attempt) {
@@ -203,7 +203,7 @@
             monitor.hopSent(vmId(index), serverId(index), key);
             monitor.hopAcknowledged(vmId(index), key);
             monitor.hopEnded(vmId(index), key, index == 10 ? HopOutcome::ServerFailed : HopOutcome::Answered, 30ms);
-            monitor.absorbReport(vmId(index), reportOf(index, {}));
+            monitor.applyReport(vmId(index), reportOf(index, {}));
         }
         wait(50ms);
     }
@@ -216,18 +216,18 @@
 // Two nodes of a service far away contradict each other about a third, which says that it is well.
 BOOST_FIXTURE_TEST_CASE(reports_contradictingEachOther_leaveTheWordToTheServerItself, OneNode)
 {
-    monitor.absorbReport(vmId(10), reportOf(10, {12}));
+    monitor.applyReport(vmId(10), reportOf(10, {12}));
     BOOST_TEST((availability(12) == Availability::Ejected));
-    monitor.absorbReport(vmId(11), reportOf(11, {}));
+    monitor.applyReport(vmId(11), reportOf(11, {}));
     clock.advance(1ms);
-    monitor.absorbReport(vmId(12), reportOf(12, {}));
+    monitor.applyReport(vmId(12), reportOf(12, {}));
     BOOST_TEST((availability(12) == Availability::Usable));
 }
 
 // A single reporter accuses all others. Its word must not take a service below its floor.
 BOOST_FIXTURE_TEST_CASE(report_accusingAllOthers_isCutByTheFloor, OneNode)
 {
-    monitor.absorbReport(vmId(10), reportOf(10, {11, 12, 13}));
+    monitor.applyReport(vmId(10), reportOf(10, {11, 12, 13}));
     int usable = 0;
     for (int index = 10; index < 14; ++index) {
         usable += monitor.view(serverId(index)).usable() ? 1 : 0;
@@ -244,14 +244,14 @@
     wait(100ms);
     monitor.takeMessages();
     clock.advance(10s);
-    BOOST_TEST(!monitor.report(serverId(0)).informed);
+    BOOST_TEST(!monitor.report(serverId(0)).upToDate);
     monitor.attemptFinished(serverId(0), AttemptKey{}, AttemptOutcome::Timeout, 10s);
-    BOOST_TEST(!monitor.report(serverId(0)).informed);
+    BOOST_TEST(!monitor.report(serverId(0)).upToDate);
     monitor.tick();
     BOOST_TEST(monitor.takeMessages().empty());
     BOOST_TEST((availability(2) != Availability::Ejected));
     hear(1, claimOf(1));
-    BOOST_TEST(monitor.report(serverId(0)).informed);
+    BOOST_TEST(monitor.report(serverId(0)).upToDate);
 }
 
 // Messages can be cut, forged by a bug, or come from a newer node. None of them may stop this one.
@@ -269,7 +269,7 @@
 BOOST_AUTO_TEST_CASE(messages_ofVmWithManySiblings_stayWithinTheBudget)
 {
     base::ManualClock clock;
-    HealthMonitor monitor(Self{vmId(0), 1}, clock, 1);
+    HealthMonitor monitor(NodeIdentity{vmId(0), 1}, clock, 1);
     config::Configuration::Parts parts;
     for (int service = 0; service < 9; ++service) {
         const base::ServiceId name("service-" + std::to_string(service));
@@ -288,7 +288,7 @@
         clock.advance(50ms);
         monitor.tick();
         for (const wire::Outgoing &message : monitor.takeMessages()) {
-            bytes += step < 20 * 20 ? 0 : static_cast<double>(message.payload.size()) + settings.messageOverhead;
+            bytes += step < 20 * 20 ? 0 : static_cast<double>(message.payload.size()) + settings.messageOverheadBytes;
         }
     }
     BOOST_TEST(bytes / 100 <= 1.1 * settings.controlBytesPerSecond);
--- a/src/health/siblingbook.cpp
+++ b/src/health/siblingtable.cpp
@@ -1,5 +1,5 @@
 #include "latencyscale.h"
-#include "siblingbook.h"
+#include "siblingtable.h"
 
 #include <algorithm>
 #include <cmath>
@@ -25,12 +25,13 @@
     return *middle;
 }
 
-std::vector<const Belief *> workingBeliefs(const std::vector<base::BackendServerId> &servers, const Beliefs &beliefs)
+std::vector<const RemoteServer *> workingBeliefs(const std::vector<base::BackendServerId> &servers,
+                                                 const RemoteServers &beliefs)
 {
-    std::vector<const Belief *> result;
+    std::vector<const RemoteServer *> result;
     for (const base::BackendServerId &server : servers) {
         const auto found = beliefs.find(server);
-        if (found != beliefs.end() && found->second.heardAt && found->second.working()) {
+        if (found != beliefs.end() && found->second.receivedAt && found->second.takesWork()) {
             result.push_back(&found->second);
         }
     }
@@ -51,14 +52,14 @@
 
 }
 
-SiblingBook::SiblingBook(base::VmId self, std::uint64_t seed, const HealthSettings &settings)
+SiblingTable::SiblingTable(base::VmId self, std::uint64_t seed, const HealthSettings &settings)
     : m_self(std::move(self))
     , m_settings(settings)
     , m_random(seed)
 {
 }
 
-void SiblingBook::configure(const config::Configuration &configuration, base::TimePoint now)
+void SiblingTable::configure(const config::Configuration &configuration, base::TimePoint now)
 {
     std::map<base::VmId, std::set<base::ServiceId>> common;
     for (const config::Service &service : configuration.services()) {
@@ -82,15 +83,15 @@
     }
 }
 
-void SiblingBook::distrust()
+void SiblingTable::invalidate()
 {
     for (auto &[vm, peer] : m_peers) {
-        peer.heardAt.reset();
-        peer.toldRoutes.clear();
+        peer.receivedAt.reset();
+        peer.sentRoutes.clear();
     }
 }
 
-bool SiblingBook::acceptIncarnation(const base::VmId &from, base::Incarnation incarnation)
+bool SiblingTable::acceptIncarnation(const base::VmId &from, base::Incarnation incarnation)
 {
     const auto found = m_peers.find(from);
     if (found == m_peers.end()) {
@@ -102,27 +103,28 @@
     }
     // A message that the old self of a restarted VM sent can arrive after the new self spoke. Believed, it would
     // bring back an ejection or a farewell that is no longer meant.
-    if (std::find(peer.retired.begin(), peer.retired.end(), incarnation) != peer.retired.end()) {
+    if (std::find(peer.retiredIncarnations.begin(), peer.retiredIncarnations.end(), incarnation)
+        != peer.retiredIncarnations.end()) {
         return false;
     }
     if (peer.incarnation != 0) {
-        peer.retired.push_back(peer.incarnation);
+        peer.retiredIncarnations.push_back(peer.incarnation);
     }
-    if (peer.retired.size() > maxRetired) {
-        peer.retired.erase(peer.retired.begin());
+    if (peer.retiredIncarnations.size() > maxRetired) {
+        peer.retiredIncarnations.erase(peer.retiredIncarnations.begin());
     }
     peer.incarnation = incarnation;
     peer.version = 0;
-    peer.toldRoutes.clear();
+    peer.sentRoutes.clear();
     return true;
 }
 
-bool SiblingBook::receiveState(const base::VmId &from,
-                               base::Incarnation incarnation,
-                               std::string_view payload,
-                               const config::Configuration &configuration,
-                               Beliefs &beliefs,
-                               base::TimePoint now)
+bool SiblingTable::receiveState(const base::VmId &from,
+                                base::Incarnation incarnation,
+                                std::string_view payload,
+                                const config::Configuration &configuration,
+                                RemoteServers &beliefs,
+                                base::TimePoint now)
 {
     const auto state = wire::decode<SiblingState>(payload);
     if (!acceptIncarnation(from, incarnation)) {
@@ -133,53 +135,53 @@
         return false;
     }
     peer.version = state.version;
-    peer.heardAt = now;
-    peer.reportedSilent = false;
+    peer.receivedAt = now;
+    peer.reportedUnreachable = false;
     const base::Duration announced = std::chrono::milliseconds(state.intervalMs);
     peer.interval = std::clamp<base::Duration>(announced, m_settings.siblingInterval, maxInterval);
-    for (const ServerClaim &claim : state.servers) {
+    for (const ServerStatus &claim : state.servers) {
         for (const base::ServiceId &service : peer.services) {
             const config::BackendServer *server = serverOf(configuration, service, claim.server);
             // A VM speaks for its own servers only.
             if (server != nullptr && server->vm == from) {
-                beliefs[server->id].absorb(claim, now);
+                beliefs[server->id].update(claim, now);
             }
         }
     }
     return true;
 }
 
-bool SiblingBook::isSibling(const base::VmId &vm) const
+bool SiblingTable::isSibling(const base::VmId &vm) const
 {
     return m_peers.contains(vm);
 }
 
-bool SiblingBook::reachable(const base::VmId &vm, base::TimePoint now) const
+bool SiblingTable::reachable(const base::VmId &vm, base::TimePoint now) const
 {
     if (vm == m_self) {
         return true;
     }
     const auto found = m_peers.find(vm);
-    if (found == m_peers.end() || !found->second.heardAt) {
+    if (found == m_peers.end() || !found->second.receivedAt) {
         return false;
     }
-    const auto silence = std::chrono::duration<double>(now - *found->second.heardAt);
-    return silence <= m_settings.unreachableAfter * std::chrono::duration<double>(found->second.interval);
+    const auto silence = std::chrono::duration<double>(now - *found->second.receivedAt);
+    return silence <= m_settings.unreachableIntervals * std::chrono::duration<double>(found->second.interval);
 }
 
-std::vector<base::VmId> SiblingBook::newlySilent(base::TimePoint now)
+std::vector<base::VmId> SiblingTable::newlyUnreachable(base::TimePoint now)
 {
     std::vector<base::VmId> silent;
     for (auto &[vm, peer] : m_peers) {
-        if (peer.heardAt && !peer.reportedSilent && !reachable(vm, now)) {
-            peer.reportedSilent = true;
+        if (peer.receivedAt && !peer.reportedUnreachable && !reachable(vm, now)) {
+            peer.reportedUnreachable = true;
             silent.push_back(vm);
         }
     }
     return silent;
 }
 
-std::vector<base::VmId> SiblingBook::siblings() const
+std::vector<base::VmId> SiblingTable::siblings() const
 {
     std::vector<base::VmId> result;
     for (const auto &[vm, peer] : m_peers) {
@@ -189,21 +191,21 @@
 }
 
 // The budget decides: a VM with servers of many services has more siblings than it can speak to each second.
-base::Duration SiblingBook::interval() const
+base::Duration SiblingTable::interval() const
 {
-    const double seconds = static_cast<double>(m_peers.size()) * m_messageBytes / m_settings.controlBytesPerSecond;
+    const double seconds = static_cast<double>(m_peers.size()) * m_meanMessageBytes / m_settings.controlBytesPerSecond;
     const auto needed = std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(seconds));
     return std::clamp<base::Duration>(needed, m_settings.siblingInterval, maxInterval);
 }
 
-bool SiblingBook::anyDue(base::TimePoint now) const
+bool SiblingTable::anyDue(base::TimePoint now) const
 {
     return std::any_of(m_peers.begin(), m_peers.end(), [&](const auto &entry) { return now >= entry.second.nextDue; });
 }
 
-std::vector<wire::Outgoing> SiblingBook::dueMessages(const std::vector<FullClaim> &claims,
-                                                     const std::set<base::ServiceId> &urgent,
-                                                     base::TimePoint now)
+std::vector<wire::Outgoing> SiblingTable::dueMessages(const std::vector<FullServerStatus> &claims,
+                                                      const std::set<base::ServiceId> &urgent,
+                                                      base::TimePoint now)
 {
     std::vector<wire::Outgoing> messages;
     for (auto &[vm, peer] : m_peers) {
@@ -215,42 +217,42 @@
         }
         peer.nextDue = now + interval();
         messages.push_back(wire::outgoing(vm, wire::MessageKind::SiblingState, stateFor(peer, claims)));
-        const double bytes = static_cast<double>(messages.back().payload.size()) + m_settings.messageOverhead;
-        m_messageBytes += bytesWeight * (bytes - m_messageBytes);
+        const double bytes = static_cast<double>(messages.back().payload.size()) + m_settings.messageOverheadBytes;
+        m_meanMessageBytes += bytesWeight * (bytes - m_meanMessageBytes);
     }
     return messages;
 }
 
-SiblingState SiblingBook::stateFor(Peer &peer, const std::vector<FullClaim> &claims)
+SiblingState SiblingTable::stateFor(Peer &peer, const std::vector<FullServerStatus> &claims)
 {
     SiblingState state;
     state.version = ++m_version;
     state.intervalMs = static_cast<std::uint16_t>(static_cast<double>(interval().count()) / unitsPerMillisecond);
     const bool withShape = peer.messages % shapeEvery == firstShape;
     ++peer.messages;
-    for (const FullClaim &full : claims) {
+    for (const FullServerStatus &full : claims) {
         if (!peer.services.contains(full.service)) {
             continue;
         }
-        ServerClaim claim = full.claim;
+        ServerStatus claim = full.status;
         chooseRoutes(peer, full, claim);
         if (withShape) {
-            claim.shape = full.shape;
+            claim.distribution = full.distribution;
         }
         state.servers.push_back(claim);
     }
     return state;
 }
 
-void SiblingBook::chooseRoutes(Peer &peer, const FullClaim &full, ServerClaim &claim) const
+void SiblingTable::chooseRoutes(Peer &peer, const FullServerStatus &full, ServerStatus &claim) const
 {
     const auto tell = [&](std::uint32_t route, std::uint8_t steps) {
         claim.routes.push_back(RouteLatency{route, steps});
-        peer.toldRoutes[{claim.server, route}] = steps;
+        peer.sentRoutes[{claim.server, route}] = steps;
     };
     for (const auto &[route, steps] : full.routes) {
-        const auto told = peer.toldRoutes.find({claim.server, route});
-        const bool changed = told == peer.toldRoutes.end() || std::abs(told->second - steps) >= changedSteps;
+        const auto told = peer.sentRoutes.find({claim.server, route});
+        const bool changed = told == peer.sentRoutes.end() || std::abs(told->second - steps) >= changedSteps;
         if (changed && claim.routes.size() < maxRoutesPerClaim) {
             tell(route, steps);
         }
@@ -258,28 +260,28 @@
     if (!claim.routes.empty() || full.routes.empty()) {
         return;
     }
-    auto next = full.routes.upper_bound(peer.refreshAfter);
+    auto next = full.routes.upper_bound(peer.lastRefreshedRoute);
     if (next == full.routes.end()) {
         next = full.routes.begin();
     }
-    peer.refreshAfter = next->first;
+    peer.lastRefreshedRoute = next->first;
     tell(next->first, next->second);
 }
 
-ServiceReference referenceOf(const std::vector<base::BackendServerId> &servers, const Beliefs &beliefs)
+ServiceReference referenceOf(const std::vector<base::BackendServerId> &servers, const RemoteServers &beliefs)
 {
     ServiceReference reference;
     std::unordered_map<std::uint32_t, std::vector<std::uint8_t>> steps;
-    std::vector<LatencyShape> shapes;
+    std::vector<LatencyDistribution> shapes;
     std::vector<double> failures;
     std::size_t accepting = 0;
     const auto working = workingBeliefs(servers, beliefs);
-    for (const Belief *belief : working) {
+    for (const RemoteServer *belief : working) {
         for (const auto &[route, told] : belief->routes) {
             steps[route].push_back(told);
         }
-        if (belief->shape) {
-            shapes.push_back(*belief->shape);
+        if (belief->distribution) {
+            shapes.push_back(*belief->distribution);
         }
         failures.push_back(belief->failureShare);
         accepting += belief->accepting ? 1 : 0;
@@ -288,7 +290,7 @@
         reference.routeLatency[route] = latencyOf(lowerMedian(told));
     }
     if (!shapes.empty()) {
-        reference.model = LatencyModel(medianShape(shapes));
+        reference.model = LatencyModel(medianDistribution(shapes));
     }
     if (!failures.empty()) {
         reference.failureShare = lowerMedian(failures);
@@ -297,10 +299,10 @@
     return reference;
 }
 
-int usualSeverity(const std::vector<base::BackendServerId> &servers, const Beliefs &beliefs)
+int medianSeverity(const std::vector<base::BackendServerId> &servers, const RemoteServers &beliefs)
 {
     std::vector<int> severities;
-    for (const Belief *belief : workingBeliefs(servers, beliefs)) {
+    for (const RemoteServer *belief : workingBeliefs(servers, beliefs)) {
         severities.push_back(belief->severity);
     }
     return severities.empty() ? 0 : lowerMedian(severities);
--- a/src/health/syntheticfleet.cpp
+++ b/src/health/syntheticfleet.cpp
@@ -36,15 +36,15 @@
 
 }
 
-std::vector<ServiceShape> fleetServices(const std::string &fleet)
+std::vector<ServiceProfile> fleetServices(const std::string &fleet)
 {
     using enum config::DetectionPreference;
-    const std::vector<RouteMix> counter{
+    const std::vector<RouteProfile> counter{
         {"balance", 0.7, 30ms, 0.6}, {"vouchers", 0.2, 120ms, 0.8}, {"refund", 0.1, 60ms, 0.5}};
-    const std::vector<RouteMix> van{{"pickup", 0.6, 40ms, 0.6}, {"round", 0.4, 90ms, 0.7}};
-    const std::vector<RouteMix> booking{
+    const std::vector<RouteProfile> van{{"pickup", 0.6, 40ms, 0.6}, {"round", 0.4, 90ms, 0.7}};
+    const std::vector<RouteProfile> booking{
         {"slots", 0.5, 25ms, 0.6}, {"stock", 0.3, 15ms, 0.6}, {"scan", 0.05, 400ms, 0.9}, {"book", 0.15, 60ms, 0.5}};
-    const std::vector<RouteMix> workshop{{"orders", 0.7, 30ms, 0.6}, {"stretch", 0.3, 80ms, 0.6}};
+    const std::vector<RouteProfile> workshop{{"orders", 0.7, 30ms, 0.6}, {"stretch", 0.3, 80ms, 0.6}};
     if (fleet == "caribrite") {
         return {{"counter", 14, 5, 4, FastDetection, 0.5, 0.45, counter},
                 {"van", 8, 5, 4, FastDetection, 0.5, 0.45, van}};
@@ -66,11 +66,11 @@
     return base::VmId((index < 10 ? "vm-0" : "vm-") + std::to_string(index));
 }
 
-MonitorDetector::MonitorDetector(const ServiceShape &shape,
+MonitorDetector::MonitorDetector(const ServiceProfile &shape,
                                  const base::ManualClock &clock,
                                  std::uint64_t seed,
                                  Link link)
-    : m_shape(shape)
+    : m_profile(shape)
     , m_clock(clock)
     , m_link(std::move(link))
     , m_seed(seed)
@@ -79,7 +79,7 @@
     for (int vm = 0; vm < shape.servers; ++vm) {
         m_incarnations.push_back(static_cast<base::Incarnation>(vm) + 1);
         m_monitors.push_back(std::make_unique<HealthMonitor>(
-            Self{vmId(vm), m_incarnations.back()}, clock, seed + static_cast<std::uint64_t>(vm)));
+            NodeIdentity{vmId(vm), m_incarnations.back()}, clock, seed + static_cast<std::uint64_t>(vm)));
     }
     publish();
 }
@@ -87,16 +87,17 @@
 void MonitorDetector::publish(const std::function<void(config::Configuration::Parts &)> &change)
 {
     config::Configuration::Parts parts;
-    parts.services.push_back(config::Service{base::ServiceId(serviceName), m_shape.prefer, m_shape.floor, "/health"});
-    for (int index = 0; index < m_shape.servers; ++index) {
-        const base::ZoneId zone("zone-" + std::to_string(index % m_shape.zones));
+    parts.services.push_back(
+        config::Service{base::ServiceId(serviceName), m_profile.prefer, m_profile.floor, "/health"});
+    for (int index = 0; index < m_profile.servers; ++index) {
+        const base::ZoneId zone("zone-" + std::to_string(index % m_profile.zones));
         parts.backendServers.push_back(config::BackendServer{serverId(index),
                                                              base::ServiceId(serviceName),
                                                              vmId(index),
                                                              zone,
                                                              "127.0.0.1",
                                                              static_cast<std::uint16_t>(8000 + index),
-                                                             m_shape.slots,
+                                                             m_profile.slots,
                                                              false});
     }
     if (change) {
@@ -115,7 +116,7 @@
     const auto index = static_cast<std::size_t>(vm);
     m_incarnations[index] += 1000;
     m_monitors[index] = std::make_unique<HealthMonitor>(
-        Self{vmId(vm), m_incarnations[index]}, m_clock, m_seed + m_incarnations[index]);
+        NodeIdentity{vmId(vm), m_incarnations[index]}, m_clock, m_seed + m_incarnations[index]);
     publish();
 }
 
@@ -144,13 +145,13 @@
 {
     monitor(entry).hopEnded(vmId(server), key, outcome, latency);
     if (reached) {
-        monitor(entry).absorbReport(vmId(server), monitor(server).report(serverId(server)));
+        monitor(entry).applyReport(vmId(server), monitor(server).report(serverId(server)));
     }
 }
 
-void MonitorDetector::hint(int server, bool good)
+void MonitorDetector::probeFinished(int server, bool good)
 {
-    monitor(server).healthHint(serverId(server), good);
+    monitor(server).probeFinished(serverId(server), good);
 }
 
 bool MonitorDetector::admits(int server)
@@ -160,16 +161,16 @@
 
 void MonitorDetector::tick(base::TimePoint)
 {
-    for (int vm = 0; vm < m_shape.servers; ++vm) {
+    for (int vm = 0; vm < m_profile.servers; ++vm) {
         if (!m_paused[static_cast<std::size_t>(vm)]) {
             monitor(vm).tick();
-            collect(vm);
+            collectEvents(vm);
         }
     }
     deliver();
 }
 
-void MonitorDetector::collect(int vm)
+void MonitorDetector::collectEvents(int vm)
 {
     for (const HealthEvent &event : monitor(vm).takeEvents()) {
         events.push_back(event);
@@ -177,7 +178,7 @@
         if (!path && event.kind != HealthEventKind::Ejected && event.kind != HealthEventKind::EntryEjected) {
             continue;
         }
-        for (int index = 0; index < m_shape.servers; ++index) {
+        for (int index = 0; index < m_profile.servers; ++index) {
             if (path ? event.vm == vmId(index) : event.server == serverId(index)) {
                 m_ejections.push_back(Ejection{vm, index});
             }
@@ -187,12 +188,12 @@
 
 void MonitorDetector::deliver()
 {
-    for (int from = 0; from < m_shape.servers; ++from) {
+    for (int from = 0; from < m_profile.servers; ++from) {
         if (m_paused[static_cast<std::size_t>(from)]) {
             continue;
         }
         for (const wire::Outgoing &message : monitor(from).takeMessages()) {
-            for (int to = 0; to < m_shape.servers; ++to) {
+            for (int to = 0; to < m_profile.servers; ++to) {
                 const bool awake = !m_paused[static_cast<std::size_t>(to)];
                 if (message.to == vmId(to) && awake && m_link(from, to)) {
                     monitor(to).receive(
@@ -229,9 +230,9 @@
     m_paused[static_cast<std::size_t>(vm)] = paused;
 }
 
-Fleet::Fleet(const ServiceShape &shape, std::uint64_t seed, const MakeDetector &make)
-    : m_shape(shape)
-    , m_began(m_clock.now())
+Fleet::Fleet(const ServiceProfile &shape, std::uint64_t seed, const MakeDetector &make)
+    : m_profile(shape)
+    , m_start(m_clock.now())
     , m_random(seed)
     , m_queues(static_cast<std::size_t>(shape.servers))
     , m_busy(m_queues.size(), 0)
@@ -244,7 +245,7 @@
         m_speed.push_back(std::exp(normal(m_random)));
     }
     double meanSeconds = 0;
-    for (const RouteMix &route : shape.routes) {
+    for (const RouteProfile &route : shape.routes) {
         meanSeconds += route.share * toSeconds(route.median) * std::exp(route.sigma * route.sigma / 2);
     }
     m_arrivalsPerSecond = shape.load * shape.servers * shape.slots / meanSeconds;
@@ -259,7 +260,7 @@
 
 void Fleet::runUntil(base::Duration until)
 {
-    while (m_events.top().at <= m_began + until) {
+    while (m_events.top().at <= m_start + until) {
         const Event event = m_events.top();
         m_events.pop();
         m_clock.advance(event.at - m_clock.now());
@@ -269,7 +270,7 @@
 
 base::Duration Fleet::elapsed() const
 {
-    return m_clock.now() - m_began;
+    return m_clock.now() - m_start;
 }
 
 Detector &Fleet::detector()
@@ -282,32 +283,32 @@
     return m_clock;
 }
 
-double Fleet::avoidedBy(int server)
+double Fleet::avoidedShare(int server)
 {
     int avoiding = 0;
-    for (int entry = 0; entry < m_shape.servers; ++entry) {
+    for (int entry = 0; entry < m_profile.servers; ++entry) {
         if (active(Fault::Paused, entry)) {
             continue;
         }
         avoiding += entry != server && m_detector->weight(entry, server) <= trialShare ? 1 : 0;
     }
-    return static_cast<double>(avoiding) / (m_shape.servers - 1);
+    return static_cast<double>(avoiding) / (m_profile.servers - 1);
 }
 
 double Fleet::smallestCapacity()
 {
-    int smallest = m_shape.servers;
-    for (int entry = 0; entry < m_shape.servers; ++entry) {
+    int smallest = m_profile.servers;
+    for (int entry = 0; entry < m_profile.servers; ++entry) {
         if (active(Fault::OneWayTo, entry) || active(Fault::OneWayFrom, entry) || active(Fault::Paused, entry)) {
             continue;
         }
         int usable = 0;
-        for (int server = 0; server < m_shape.servers; ++server) {
+        for (int server = 0; server < m_profile.servers; ++server) {
             usable += m_detector->weight(entry, server) > 0 ? 1 : 0;
         }
         smallest = std::min(smallest, usable);
     }
-    return static_cast<double>(smallest) / m_shape.servers;
+    return static_cast<double>(smallest) / m_profile.servers;
 }
 
 std::uint64_t Fleet::answered() const
@@ -350,8 +351,8 @@
         return finish(event.hop);
     case Step::Answer:
         return answer(event.hop);
-    case Step::GiveUp:
-        return giveUp(event.hop);
+    case Step::TimeOut:
+        return timeOut(event.hop);
     case Step::Tick:
         applyPauses();
         m_detector->tick(m_clock.now());
@@ -365,14 +366,14 @@
 void Fleet::arrive()
 {
     schedule(fromSeconds(std::exponential_distribution<double>(m_arrivalsPerSecond)(m_random)), Step::Arrival);
-    std::uniform_int_distribution<int> anyEntry(0, m_shape.servers - 1);
+    std::uniform_int_distribution<int> anyEntry(0, m_profile.servers - 1);
     Hop hop;
     do {
         hop.entry = anyEntry(m_random);
     } while (active(Fault::Paused, hop.entry));
     double at = std::uniform_real_distribution<double>(0, 1)(m_random);
-    while (hop.route + 1 < m_shape.routes.size() && at >= m_shape.routes[hop.route].share) {
-        at -= m_shape.routes[hop.route].share;
+    while (hop.route + 1 < m_profile.routes.size() && at >= m_profile.routes[hop.route].share) {
+        at -= m_profile.routes[hop.route].share;
         ++hop.route;
     }
     const std::uint64_t id = m_nextHop++;
@@ -383,8 +384,8 @@
 int Fleet::choose(int entry)
 {
     std::vector<double> weights;
-    weights.reserve(static_cast<std::size_t>(m_shape.servers));
-    for (int server = 0; server < m_shape.servers; ++server) {
+    weights.reserve(static_cast<std::size_t>(m_profile.servers));
+    for (int server = 0; server < m_profile.servers; ++server) {
         weights.push_back(m_detector->weight(entry, server));
     }
     std::discrete_distribution<int> draw(weights.begin(), weights.end());
@@ -404,7 +405,7 @@
     if (hop.entry == hop.server || delivers(hop.entry, hop.server)) {
         schedule(linkDelay, Step::Receive, id);
     }
-    schedule(acknowledgeTimeout, Step::GiveUp, id);
+    schedule(acknowledgeTimeout, Step::TimeOut, id);
 }
 
 void Fleet::receive(std::uint64_t id)
@@ -424,7 +425,7 @@
     hop.admitted = m_detector->admits(hop.server);
     if (!hop.admitted) {
         schedule(linkDelay, Step::Answer, id);
-    } else if (m_busy[server] < m_shape.slots) {
+    } else if (m_busy[server] < m_profile.slots) {
         start(id);
     } else {
         m_queues[server].push(id);
@@ -439,7 +440,7 @@
     ++m_started[server];
     hop.running = true;
     hop.startedAt = m_clock.now();
-    m_detector->started(hop.server, hop.key, m_shape.routes[hop.route].name);
+    m_detector->started(hop.server, hop.key, m_profile.routes[hop.route].name);
     schedule(draw(hop, hop.outcome), Step::Finish, id);
 }
 
@@ -447,7 +448,7 @@
 {
     std::uniform_real_distribution<double> chance(0, 1);
     const auto server = static_cast<std::size_t>(hop.server);
-    const RouteMix &route = m_shape.routes[hop.route];
+    const RouteProfile &route = m_profile.routes[hop.route];
     double seconds = toSeconds(route.median) * m_speed[server]
         * std::exp(std::normal_distribution<double>(0, route.sigma)(m_random));
     outcome = chance(m_random) < usualErrors ? AttemptOutcome::Error : AttemptOutcome::Success;
@@ -464,14 +465,14 @@
         outcome = AttemptOutcome::ConnectionRefused;
         seconds = toSeconds(linkDelay);
     }
-    if (chance(m_random) < stallsPerSecond * m_shape.servers / m_arrivalsPerSecond) {
+    if (chance(m_random) < stallsPerSecond * m_profile.servers / m_arrivalsPerSecond) {
         m_stalledUntil[server] = m_clock.now() + stallLength;
     }
     base::Duration latency = fromSeconds(seconds);
     if (m_stalledUntil[server] > m_clock.now()) {
         latency += m_stalledUntil[server] - m_clock.now();
     }
-    if (sick(hop.server) || latency > deadline) {
+    if (inFailurePhase(hop.server) || latency > deadline) {
         outcome = AttemptOutcome::Timeout;
         latency = deadline;
     }
@@ -494,7 +495,7 @@
         schedule(linkDelay, Step::Answer, id);
     } else {
         m_hops[id].running = false;
-        schedule(deadline, Step::GiveUp, id);
+        schedule(deadline, Step::TimeOut, id);
     }
 }
 
@@ -526,7 +527,7 @@
     endHop(id, good ? HopOutcome::Answered : refused ? HopOutcome::Refused : HopOutcome::ServerFailed, true, !good);
 }
 
-void Fleet::giveUp(std::uint64_t id)
+void Fleet::timeOut(std::uint64_t id)
 {
     const auto found = m_hops.find(id);
     if (found == m_hops.end() || m_clock.now() - found->second.sentAt < acknowledgeTimeout) {
@@ -534,7 +535,7 @@
     }
     const Hop &hop = found->second;
     if (active(Fault::Paused, hop.entry)) {
-        return schedule(tickStep, Step::GiveUp, id);
+        return schedule(tickStep, Step::TimeOut, id);
     }
     const bool lost = !hop.acknowledged && !hop.running && hop.entry != hop.server;
     if (lost && (!delivers(hop.entry, hop.server) || !delivers(hop.server, hop.entry))) {
@@ -571,7 +572,7 @@
     });
 }
 
-bool Fleet::sick(int server) const
+bool Fleet::inFailurePhase(int server) const
 {
     if (active(Fault::Hang, server)) {
         return true;
@@ -590,7 +591,7 @@
     if (monitors == nullptr) {
         return;
     }
-    for (int vm = 0; vm < m_shape.servers; ++vm) {
+    for (int vm = 0; vm < m_profile.servers; ++vm) {
         monitors->setPaused(vm, active(Fault::Paused, vm));
     }
 }
--- a/src/health/syntheticfleet.h
+++ b/src/health/syntheticfleet.h
@@ -15,7 +15,7 @@
 /// break, around detectors that are the real code. Not shipped.
 namespace papayastep::health::synthetic {
 
-struct RouteMix
+struct RouteProfile
 {
     std::string name;
     double share = 1;
@@ -23,7 +23,7 @@
     double sigma = 0.6; ///< Of the log-normal latency.
 };
 
-struct ServiceShape
+struct ServiceProfile
 {
     std::string name;
     int servers = 0;
@@ -32,11 +32,11 @@
     config::DetectionPreference prefer = config::DetectionPreference::FastDetection;
     double floor = 0.5;
     double load = 0.45; ///< Share of all slots that is busy on average.
-    std::vector<RouteMix> routes;
+    std::vector<RouteProfile> routes;
 };
 
 /// The services of the example fleets: "caribrite" or "tepla-noha".
-std::vector<ServiceShape> fleetServices(const std::string &fleet);
+std::vector<ServiceProfile> fleetServices(const std::string &fleet);
 
 enum class Fault {
     None,
@@ -84,7 +84,7 @@
     virtual void hopEnded(
         int entry, int server, const AttemptKey &key, HopOutcome outcome, base::Duration latency, bool reached)
         = 0;
-    virtual void hint(int server, bool good) = 0;
+    virtual void probeFinished(int server, bool good) = 0;
     virtual bool admits(int server) = 0;
     virtual void tick(base::TimePoint now) = 0;
     virtual double weight(int entry, int server) = 0;
@@ -100,7 +100,7 @@
 class MonitorDetector final : public Detector
 {
 public:
-    MonitorDetector(const ServiceShape &shape, const base::ManualClock &clock, std::uint64_t seed, Link link);
+    MonitorDetector(const ServiceProfile &shape, const base::ManualClock &clock, std::uint64_t seed, Link link);
 
     void started(int server, const AttemptKey &key, const std::string &route) override;
     void finished(int server, const AttemptKey &key, AttemptOutcome outcome, base::Duration latency) override;
@@ -112,7 +112,7 @@
                   HopOutcome outcome,
                   base::Duration latency,
                   bool reached) override;
-    void hint(int server, bool good) override;
+    void probeFinished(int server, bool good) override;
     bool admits(int server) override;
     void tick(base::TimePoint now) override;
     double weight(int entry, int server) override;
@@ -128,9 +128,9 @@
 
 private:
     void deliver();
-    void collect(int vm);
+    void collectEvents(int vm);
 
-    ServiceShape m_shape;
+    ServiceProfile m_profile;
     const base::ManualClock &m_clock;
     Link m_link;
     std::uint64_t m_seed;
@@ -150,7 +150,7 @@
 public:
     using MakeDetector = std::function<std::unique_ptr<Detector>(const base::ManualClock &clock, Link link)>;
 
-    Fleet(const ServiceShape &shape, std::uint64_t seed, const MakeDetector &make);
+    Fleet(const ServiceProfile &shape, std::uint64_t seed, const MakeDetector &make);
 
     void addFault(const FaultPlan &plan);
     /// Called at every tick, for samples and for what a test does meanwhile.
@@ -161,7 +161,7 @@
     Detector &detector();
     const base::ManualClock &clock() const;
     /// Share of the other VMs that give the server no work, or only a trial now and then.
-    double avoidedBy(int server);
+    double avoidedShare(int server);
     /// The smallest share of slots in use that any entry sees now, entries with broken links aside.
     double smallestCapacity();
     std::uint64_t answered() const;
@@ -169,7 +169,7 @@
     std::uint64_t startedAt(int server) const;
 
 private:
-    enum class Step { Arrival, Receive, Acknowledge, Finish, Answer, GiveUp, Tick };
+    enum class Step { Arrival, Receive, Acknowledge, Finish, Answer, TimeOut, Tick };
     struct Event
     {
         base::TimePoint at;
@@ -206,18 +206,18 @@
     void finish(std::uint64_t id);
     void startNext(std::size_t server);
     void answer(std::uint64_t id);
-    void giveUp(std::uint64_t id);
+    void timeOut(std::uint64_t id);
     void endHop(std::uint64_t id, HopOutcome outcome, bool reached, bool retry);
     int choose(int entry);
     bool active(Fault fault, int server) const;
-    bool sick(int server) const; ///< In the bad phase of flapping.
+    bool inFailurePhase(int server) const; ///< In the bad phase of flapping.
     bool delivers(int from, int to) const;
     base::Duration draw(const Hop &hop, AttemptOutcome &outcome);
     void applyPauses();
 
-    ServiceShape m_shape;
+    ServiceProfile m_profile;
     base::ManualClock m_clock;
-    base::TimePoint m_began;
+    base::TimePoint m_start;
     std::mt19937_64 m_random;
     std::unique_ptr<Detector> m_detector;
     std::vector<FaultPlan> m_faults;
--- a/src/include/papayastep/health/failurefilter.h
+++ b/src/include/papayastep/health/grayfailureestimator.h
@@ -6,32 +6,32 @@
 
 namespace papayastep::health {
 
-struct FailureFilterSettings
+struct GrayFailureEstimatorSettings
 {
     /// How often a well server answers with an error, and how often its answer breaks off.
-    double wellErrors = 0.013;
-    double wellBreaks = 0.002;
+    double healthyErrorRate = 0.013;
+    double healthyBrokenRate = 0.002;
     /// How often a server fails in a gray spell, and how often it does so by an error of its own.
-    double grayFailures = 0.8;
-    double grayErrors = 0.3;
+    double grayFailureRate = 0.8;
+    double grayErrorRate = 0.3;
     /// How often a request of a well server, and of one that hangs, is still running after three mean run times. With
     /// log-normal run times (sigma 0.8) it is 4 % of the well ones.
-    double wellOverdue = 0.05;
-    double grayOverdue = 0.6;
+    double healthyOverdueRate = 0.05;
+    double grayOverdueRate = 0.6;
     /// Between two spells, and in one while little is known of it, on average.
-    base::Duration meanWell = std::chrono::seconds(12);
-    base::Duration meanGray = std::chrono::seconds(3);
+    base::Duration meanHealthyTime = std::chrono::seconds(12);
+    base::Duration meanGrayTime = std::chrono::seconds(3);
 
     /// Above it a server gets no work but scouts: a request is more likely to fail there than not.
-    double holdAbove = 0.5;
+    double holdThreshold = 0.5;
     /// Down to it only one request at a time shows how the server is.
-    double trialAbove = 0.3;
+    double trialThreshold = 0.3;
     /// After the last news of a server that is held back, until the next scout.
-    base::Duration scoutEvery = std::chrono::seconds(1);
+    base::Duration trialInterval = std::chrono::seconds(1);
     /// No evidence makes a spell likelier, so that a few answers show its end.
-    double surest = 0.9;
+    double maxProbability = 0.9;
 
-    auto operator<=>(const FailureFilterSettings &) const = default;
+    auto operator<=>(const GrayFailureEstimatorSettings &) const = default;
 };
 
 /// How a run ended.
@@ -48,18 +48,18 @@
 /// failed refund cannot be repeated. A test that waits until the evidence is beyond doubt sees some ten refunds fail in
 /// each spell. Here the first answer that breaks off holds the server back, and what ends the hold are answers to
 /// scouts: requests that may fail, since they can be repeated.
-class FailureFilter
+class GrayFailureEstimator
 {
 public:
-    explicit FailureFilter(base::TimePoint now, const FailureFilterSettings &settings = {});
+    explicit GrayFailureEstimator(base::TimePoint now, const GrayFailureEstimatorSettings &settings = {});
 
-    void noteEnd(RunEnd end, base::TimePoint now);
+    void recordEnd(RunEnd end, base::TimePoint now);
 
     /// A request has run for several times the usual without an end.
-    void noteOverdue(base::TimePoint now);
+    void recordOverdue(base::TimePoint now);
 
     /// Takes over what another filter found.
-    void assume(double probability, base::TimePoint now);
+    void setProbability(double probability, base::TimePoint now);
 
     /// Probability of a spell, 0 to 1. Without news it drifts to the share of time that spells take; the longer the
     /// spell has lasted, the more slowly.
@@ -71,17 +71,17 @@
     bool admits(bool idempotent, bool scouted, base::TimePoint now) const;
 
     /// Whether a request that goes to the server now is a scout.
-    bool wantsScout(base::TimePoint now) const;
+    bool needsTrial(base::TimePoint now) const;
 
 private:
-    void weigh(double ifGray, double ifWell, base::TimePoint now);
-    void noteSpell(base::TimePoint now);
-    base::Duration meanGray() const;
+    void applyEvidence(double ifGray, double ifWell, base::TimePoint now);
+    void updateEpisode(base::TimePoint now);
+    base::Duration expectedGrayTime() const;
 
-    FailureFilterSettings m_settings;
+    GrayFailureEstimatorSettings m_settings;
     double m_probability;
     base::TimePoint m_updated;
-    std::optional<base::TimePoint> m_spellBegan;
+    std::optional<base::TimePoint> m_episodeStart;
     base::TimePoint m_lastFailure;
 };
 
--- a/src/include/papayastep/health/graybook.h
+++ b/src/include/papayastep/health/grayfailuretable.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "papayastep/base/identifiers.h"
-#include "papayastep/health/failurefilter.h"
+#include "papayastep/health/grayfailureestimator.h"
 
 #include <unordered_map>
 
@@ -9,12 +9,12 @@
 
 /// What an entry was told about gray spells of backend servers, by the nodes beside them. What was told long ago drifts
 /// to the usual, as the filter of the teller does.
-class GrayBook
+class GrayFailureTable
 {
 public:
-    explicit GrayBook(const base::Clock &clock);
+    explicit GrayFailureTable(const base::Clock &clock);
 
-    void note(const base::BackendServerId &server, double probability);
+    void update(const base::BackendServerId &server, double probability);
 
     /// Probability of a spell; 0 for a server that was never heard of, so that a new one is not shunned.
     double probability(const base::BackendServerId &server) const;
@@ -23,14 +23,14 @@
     void expire();
 
 private:
-    struct Told
+    struct ReportedState
     {
-        FailureFilter filter;
-        base::TimePoint heardAt;
+        GrayFailureEstimator estimator;
+        base::TimePoint receivedAt;
     };
 
     const base::Clock &m_clock;
-    std::unordered_map<base::BackendServerId, Told> m_told;
+    std::unordered_map<base::BackendServerId, ReportedState> m_reported;
 };
 
 }
--- a/src/include/papayastep/health/healthmonitor.h
+++ b/src/include/papayastep/health/healthmonitor.h
@@ -16,12 +16,12 @@
 namespace papayastep::health {
 
 /// The node that a monitor works for.
-struct Self
+struct NodeIdentity
 {
     base::VmId vm;
     base::Incarnation incarnation = 0;
 
-    auto operator<=>(const Self &) const = default;
+    auto operator<=>(const NodeIdentity &) const = default;
 };
 
 /// All of the health decisions of one node: about its own backend servers (evidence beside the server), about
@@ -32,7 +32,10 @@
 class HealthMonitor
 {
 public:
-    HealthMonitor(const Self &self, const base::Clock &clock, std::uint64_t seed, const HealthSettings &settings = {});
+    HealthMonitor(const NodeIdentity &self,
+                  const base::Clock &clock,
+                  std::uint64_t seed,
+                  const HealthSettings &settings = {});
     ~HealthMonitor();
     HealthMonitor(const HealthMonitor &) = delete;
     HealthMonitor &operator=(const HealthMonitor &) = delete;
@@ -57,7 +60,7 @@
     /// Requests that wait for a slot at this node.
     void setQueueLength(const base::BackendServerId &server, int length);
     /// What the health endpoint said. A hint: shortens the way to an ejection a little, never ejects or returns.
-    void healthHint(const base::BackendServerId &server, bool good);
+    void probeFinished(const base::BackendServerId &server, bool good);
 
     // Evidence of the entry about its hops. An attempt at the own VM needs none of these.
 
@@ -69,7 +72,7 @@
     /// The report to put on the answer of a hop.
     ServerReport report(const base::BackendServerId &server) const;
     /// A report that came with an answer of `from`.
-    void absorbReport(const base::VmId &from, const ServerReport &report);
+    void applyReport(const base::VmId &from, const ServerReport &report);
 
     /// A message of the range of this package; malformed, late and foreign ones are counted and ignored.
     void receive(const base::VmId &from,
@@ -86,7 +89,7 @@
     /// The median of what the servers of `service` take, as their nodes tell; 0: not known.
     base::Duration usualLatency(const base::ServiceId &service) const;
     /// Servers of this VM whose health endpoint is worth asking now, because no traffic tells.
-    std::vector<base::BackendServerId> probesWanted() const;
+    std::vector<base::BackendServerId> serversToProbe() const;
     std::vector<HealthEvent> takeEvents();
     const HealthCounters &counters() const;
 
--- a/src/include/papayastep/health/messages.h
+++ b/src/include/papayastep/health/messages.h
@@ -22,23 +22,32 @@
 };
 
 /// One backend server, as the node beside it sees it.
-struct ServerClaim
+struct ServerStatus
 {
     std::uint32_t server = 0; ///< Low bits of base::stableHash() of the BackendServerId: shorter than the name.
     std::uint8_t state = 0; ///< ServerState.
     std::uint16_t severity = 0; ///< Evidence of sickness in percent of the ejection threshold.
-    bool sick = false; ///< Whether its node wants it ejected (or keeps it ejected), were it not for the floor.
+    bool unhealthy = false; ///< Whether its node wants it ejected (or keeps it ejected), were it not for the floor.
     std::uint16_t slotsInUse = 0;
     std::uint16_t queueLength = 0;
     std::uint8_t latencySteps = 0; ///< Recent median latency over all routes; 0: none yet.
     std::uint16_t failurePermille = 0; ///< Recent share of failed attempts.
     bool accepting = true; ///< False: refuses or sheds whatever comes.
     std::vector<RouteLatency> routes; ///< Only some of the routes: those that changed, then the others in turn.
-    std::string shape; ///< Distribution of latency around the route's usual one; empty most of the time.
-
-    auto operator<=>(const ServerClaim &) const = default;
-    MSGPACK_DEFINE(
-        server, state, severity, sick, slotsInUse, queueLength, latencySteps, failurePermille, accepting, routes, shape)
+    std::string distribution; ///< Distribution of latency around the route's usual one; empty most of the time.
+
+    auto operator<=>(const ServerStatus &) const = default;
+    MSGPACK_DEFINE(server,
+                   state,
+                   severity,
+                   unhealthy,
+                   slotsInUse,
+                   queueLength,
+                   latencySteps,
+                   failurePermille,
+                   accepting,
+                   routes,
+                   distribution)
 };
 
 /// MessageKind::SiblingState: everything one VM tells another in one message, however many services they share.
@@ -46,7 +55,7 @@
 {
     std::uint64_t version = 0; ///< Rises with each message of an incarnation; tells a late message from a new one.
     std::uint16_t intervalMs = 1000; ///< When the next one will come at the latest, if all is well.
-    std::vector<ServerClaim> servers; ///< The sender's servers of services that the receiver has a server of, too.
+    std::vector<ServerStatus> servers; ///< The sender's servers of services that the receiver has a server of, too.
 
     auto operator<=>(const SiblingState &) const = default;
     MSGPACK_DEFINE(version, intervalMs, servers)
@@ -75,10 +84,10 @@
 /// Rides on the answer of a hop: what an entry learns about a service without any control traffic.
 struct ServerReport
 {
-    std::uint32_t server = 0; ///< As in ServerClaim.
+    std::uint32_t server = 0; ///< As in ServerStatus.
     std::string serverId; ///< BackendServerId.
     std::uint8_t state = 0; ///< ServerState; trust it only if `informed`.
-    bool informed = false; ///< False after a pause or start, until fresh evidence has come.
+    bool upToDate = false; ///< False after a pause or start, until fresh evidence has come.
     std::uint16_t slotsInUse = 0;
     std::uint16_t queueLength = 0;
     std::uint8_t latencySteps = 0;
@@ -86,7 +95,7 @@
     std::vector<std::uint32_t> ejected; ///< Ejected siblings of the service, as the reporter believes.
 
     auto operator<=>(const ServerReport &) const = default;
-    MSGPACK_DEFINE(server, serverId, state, informed, slotsInUse, queueLength, latencySteps, ejectedVersion, ejected)
+    MSGPACK_DEFINE(server, serverId, state, upToDate, slotsInUse, queueLength, latencySteps, ejectedVersion, ejected)
 };
 
 }
--- a/src/include/papayastep/health/runcalls.h
+++ b/src/include/papayastep/health/nestedcalltracker.h
@@ -13,17 +13,17 @@
 ///
 /// A backend server sends its calls to the node of its own VM, as callers send their requests. Nothing names the run
 /// that a call belongs to, but a call ends with its run at the latest, and a run whose call failed ends at once.
-class RunCalls
+class NestedCallTracker
 {
 public:
-    explicit RunCalls(const base::Clock &clock);
+    explicit NestedCallTracker(const base::Clock &clock);
 
     /// `deadline` as the backend server was told.
-    void started(const AttemptKey &run, base::TimePoint deadline);
-    void ended(const AttemptKey &run);
+    void runStarted(const AttemptKey &run, base::TimePoint deadline);
+    void runEnded(const AttemptKey &run);
 
     /// Whether a request with this deadline may be a call of a run that is at work.
-    bool mayBeCall(base::TimePoint deadline) const;
+    bool mayBeNestedCall(base::TimePoint deadline) const;
 
     /// A request with this deadline, which may be a call, got no answer or a failure.
     void callFailed(base::TimePoint deadline);
@@ -48,7 +48,7 @@
 
     const base::Clock &m_clock;
     std::unordered_map<AttemptKey, Run> m_runs;
-    std::deque<FailedCall> m_failed; ///< Oldest first.
+    std::deque<FailedCall> m_failedCalls; ///< Oldest first.
 };
 
 }
--- a/src/include/papayastep/health/runestimate.h
+++ b/src/include/papayastep/health/runestimate.h
@@ -10,7 +10,7 @@
 /// What a latency that was `measured` `age` ago is worth now, where siblings usually take `usual`. 0 stands for not
 /// known in both. A server that was slow for a few answers gets nothing while others are free, so nobody measures it
 /// again: without drift it would stay without work, though well, for as long as the others bear the load.
-base::Duration driftedLatency(base::Duration measured, base::Duration usual, base::Duration age);
+base::Duration decayedLatency(base::Duration measured, base::Duration usual, base::Duration age);
 
 /// After how long a run counts as overdue, where `runs` runs took `meanRun` and siblings take `usual` (0: not known).
 /// With few runs of its own a server is judged by its siblings: a new or restarted one would else be held back as
--- a/src/include/papayastep/health/serverhold.h
+++ b/src/include/papayastep/health/serverhold.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "papayastep/health/attempt.h"
-#include "papayastep/health/failurefilter.h"
+#include "papayastep/health/grayfailureestimator.h"
 
 #include <optional>
 
@@ -28,7 +28,7 @@
     void started(const AttemptKey &attempt, base::TimePoint now);
     HoldChange ended(const AttemptKey &attempt, AttemptOutcome outcome, base::TimePoint now);
     /// An attempt has run for several times the usual.
-    HoldChange noteOverdue(base::TimePoint now);
+    HoldChange recordOverdue(base::TimePoint now);
 
     /// How likely the server is in a spell, 0 to 1.
     double grayProbability(base::TimePoint now) const;
@@ -36,10 +36,10 @@
     bool isHeldBack() const;
 
 private:
-    HoldChange noteFailure(bool wasHeld, base::TimePoint now);
+    HoldChange recordFailure(bool wasHeld, base::TimePoint now);
 
-    FailureFilter m_filter;
-    std::optional<AttemptKey> m_scout;
+    GrayFailureEstimator m_estimator;
+    std::optional<AttemptKey> m_trialAttempt;
     bool m_heldBack = false;
 };
 
--- a/src/include/papayastep/health/serverview.h
+++ b/src/include/papayastep/health/serverview.h
@@ -82,7 +82,7 @@
     HealthEventKind kind = HealthEventKind::Suspected;
     base::BackendServerId server; ///< Empty for events of a whole VM.
     base::VmId vm;
-    std::string sentence;
+    std::string description;
 
     auto operator<=>(const HealthEvent &) const = default;
 };
--- a/src/include/papayastep/node/nodecontext.h
+++ b/src/include/papayastep/node/nodecontext.h
@@ -2,7 +2,7 @@
 
 #include "papayastep/base/clock.h"
 #include "papayastep/config/configuration.h"
-#include "papayastep/health/graybook.h"
+#include "papayastep/health/grayfailuretable.h"
 #include "papayastep/health/healthmonitor.h"
 #include "papayastep/limits/ratelimiter.h"
 #include "papayastep/net/httpclient.h"
@@ -55,7 +55,7 @@
     const std::unique_ptr<limits::RateLimiter> rateLimiter;
     limits::RateLimiter &tokens; ///< The same, for short.
     health::HealthMonitor health;
-    health::GrayBook gray;
+    health::GrayFailureTable gray;
     routing::SilenceBook silence;
     routing::IdleBook idle;
     routing::RetryBudget retryBudget;
--- a/src/include/papayastep/node/servingnode.h
+++ b/src/include/papayastep/node/servingnode.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "papayastep/health/pausewatch.h"
-#include "papayastep/health/runcalls.h"
+#include "papayastep/health/nestedcalltracker.h"
+#include "papayastep/health/pausedetector.h"
 #include "papayastep/health/serverhold.h"
 #include "papayastep/limits/slotqueue.h"
 #include "papayastep/net/httpclient.h"
@@ -59,7 +59,7 @@
     void entryGone(const base::RequestId &request, int attempt);
 
     /// Runs at the backend servers of this VM, which may make calls.
-    health::RunCalls &runCalls();
+    health::NestedCallTracker &runCalls();
 
     void applyConfiguration();
 
@@ -106,8 +106,8 @@
     base::BackendServerId advise(const Work &work);
 
     NodeContext &m_context;
-    health::PauseWatch m_pauses;
-    health::RunCalls m_runCalls;
+    health::PauseDetector m_pauses;
+    health::NestedCallTracker m_runCalls;
     routing::AttemptRegistry m_registry;
     std::map<base::BackendServerId, std::unique_ptr<Lane>> m_lanes;
     std::map<limits::AttemptId, WorkPtr> m_work;
--- a/src/include/papayastep/node/settings.h
+++ b/src/include/papayastep/node/settings.h
@@ -44,8 +44,8 @@
     /// The longest that an ejected server gets no work before it is tried again; absent: minutes, after several
     /// ejections.
     std::optional<base::Duration> longestHold;
-    /// Whether gray servers are held back by health::FailureFilter alone. Its holds end after a second or two; the
-    /// slower test's ejections and trials beside it left well servers without work for ten seconds at a time.
+    /// Whether gray servers are held back by health::GrayFailureEstimator alone. Its holds end after a second or two;
+    /// the slower test's ejections and trials beside it left well servers without work for ten seconds at a time.
     bool holdsByFilter() const
     {
         return placement == PlacementChoice::LeastCost;
--- a/src/include/papayastep/routing/doubtfulserver.h
+++ b/src/include/papayastep/routing/doubtfulserver.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "papayastep/health/failurefilter.h"
+#include "papayastep/health/grayfailureestimator.h"
 
 namespace papayastep::routing {
 
@@ -8,7 +8,7 @@
 struct DoubtfulServerSettings
 {
     /// Share of the requests that a server fails while it is in a gray spell.
-    double grayFailures = health::FailureFilterSettings().grayFailures;
+    double grayFailures = health::GrayFailureEstimatorSettings().grayFailureRate;
     /// A failed request that can be repeated: the work and the time of the repeat.
     double repeatCost = 0.15;
     /// A failed request that cannot be repeated: its caller has to find out whether it ran.
--- a/src/node/attempt.cpp
+++ b/src/node/attempt.cpp
@@ -267,7 +267,7 @@
         m_answer.rest = std::make_unique<HopBody>(m_exchange);
     }
     try {
-        m_context.health.absorbReport(m_vm, wire::decode<health::ServerReport>(m_answer.reply.report));
+        m_context.health.applyReport(m_vm, wire::decode<health::ServerReport>(m_answer.reply.report));
     } catch (const base::Error &) {
         VLOG(1) << logPrefix << ": Ignored a malformed report." << base::field("vm", m_vm);
     }
--- a/src/node/attemptwatch.cpp
+++ b/src/node/attemptwatch.cpp
@@ -103,7 +103,7 @@
     const ServedAnswer &answer = m_attempt->answer();
     const auto code = static_cast<ResultCode>(answer.reply.code);
     m_advice = answer.reply.advice;
-    m_context.gray.note(m_attempt->hop().server, answer.reply.grayPercent / 100.0);
+    m_context.gray.update(m_attempt->hop().server, answer.reply.grayPercent / 100.0);
     switch (answer.outcome()) {
     case wire::HopOutcome::NotRun:
         return {AttemptEvent::RefusedNotRun, code, std::chrono::milliseconds(answer.reply.retryAfterMs)};
--- a/src/node/entryrequest.cpp
+++ b/src/node/entryrequest.cpp
@@ -151,7 +151,7 @@
 bool EntryRequest::mayBeCall() const
 {
     return m_caller.key.empty() && m_caller.patience
-        && m_handler.m_serving.runCalls().mayBeCall(m_arrived + *m_caller.patience);
+        && m_handler.m_serving.runCalls().mayBeNestedCall(m_arrived + *m_caller.patience);
 }
 
 void EntryRequest::noteFailedCall()
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -237,7 +237,7 @@
         m_context.tokens.receive(envelope.sender, envelope.incarnation, envelope.kind, envelope.payload);
     } else if (envelope.kind == wire::MessageKind::GrayNotice) {
         const auto notice = wire::decode<health::GrayNotice>(envelope.payload);
-        m_context.gray.note(base::BackendServerId(notice.serverId), std::min<int>(notice.percent, 100) / 100.0);
+        m_context.gray.update(base::BackendServerId(notice.serverId), std::min<int>(notice.percent, 100) / 100.0);
     } else if (isBetween(envelope.kind, 20, 29)) {
         m_context.health.receive(envelope.sender, envelope.incarnation, envelope.kind, envelope.payload);
     } else if (envelope.kind == wire::MessageKind::DirectoryNews) {
--- a/src/node/nodecontext.cpp
+++ b/src/node/nodecontext.cpp
@@ -36,9 +36,9 @@
         health.controlBytesPerSecond = 500;
     }
     if (settings.longestHold) {
-        health.maxHold = *settings.longestHold;
-        health.baseHold = std::min(health.baseHold, health.maxHold);
-        health.pathMaxHold = std::min(health.pathMaxHold, health.maxHold);
+        health.maxEjectionTime = *settings.longestHold;
+        health.baseEjectionTime = std::min(health.baseEjectionTime, health.maxEjectionTime);
+        health.maxPathEjectionTime = std::min(health.maxPathEjectionTime, health.maxEjectionTime);
     }
     return health;
 }
--- a/src/node/prober.cpp
+++ b/src/node/prober.cpp
@@ -39,7 +39,7 @@
 void Prober::probeWanted()
 {
     const auto &configuration = *m_context.inForce.configuration;
-    for (const base::BackendServerId &id : m_context.health.probesWanted()) {
+    for (const base::BackendServerId &id : m_context.health.serversToProbe()) {
         const config::BackendServer *server = configuration.backendServer(id);
         const config::Service *service = server != nullptr ? configuration.service(server->service) : nullptr;
         if (service != nullptr && !service->healthPath.empty()) {
@@ -69,7 +69,7 @@
     co_await exchange->run(std::move(request), answerBytes);
     const bool whole = exchange->progress() == net::ExchangeProgress::Complete;
     const bool good = whole && m_context.backends().isHealthy(exchange->head(), server.id);
-    m_context.health.healthHint(server.id, good);
+    m_context.health.probeFinished(server.id, good);
     m_context.schedulePump();
     VLOG(1) << "health: Probed a backend server." << base::field("server", server.id) << base::field("good", good);
 }
--- a/src/node/serverchoice.cpp
+++ b/src/node/serverchoice.cpp
@@ -51,7 +51,7 @@
 
 void ServerChoice::slotOffered(const wire::SlotOffer &offer)
 {
-    m_context.gray.note(offer.server, quoteOf(offer).failureRisk);
+    m_context.gray.update(offer.server, quoteOf(offer).failureRisk);
     m_context.idle.note(offer.server, quoteOf(offer).idle);
     if (m_survey) {
         m_survey->note(offer.server, quoteOf(offer));
