--- a/src/node/servingnode.cpp
+++ b/src/node/servingnode.cpp
@@ -30,10 +30,10 @@
 /// Bounds what a notice costs in a large fleet; the other entries find out by a refusal.
 constexpr std::size_t mostNotified = 32;
 
-/// Above it an attempt that hangs is worth running once more elsewhere. Below FailureFilterSettings::surest, which no
-/// belief exceeds.
+/// Above it an attempt that hangs is worth running once more elsewhere. Below
+/// GrayFailureEstimatorSettings::maxProbability, which no belief exceeds.
 constexpr double suspectAbove = 0.85;
-static_assert(suspectAbove < health::FailureFilterSettings().surest);
+static_assert(suspectAbove < health::GrayFailureEstimatorSettings().maxProbability);
 
 /// Bounds the ratio of two run times where runs take next to nothing.
 constexpr base::Duration shortestMean = std::chrono::microseconds(1);
@@ -320,7 +320,7 @@
     }
 }
 
-health::RunCalls &ServingNode::runCalls()
+health::NestedCallTracker &ServingNode::runCalls()
 {
     return m_runCalls;
 }
@@ -372,7 +372,7 @@
 bool ServingNode::mayBecomeOverdue(const Work &work)
 {
     const bool isWatched = work.running && !work.overdue && laneOf(work.hop.server) != nullptr;
-    return isWatched && !m_pauses.stoodStillSince(work.started);
+    return isWatched && !m_pauses.pausedSince(work.started);
 }
 
 base::TimePoint ServingNode::overdueAt(const Work &work)
@@ -394,7 +394,7 @@
     }
     const auto idleSince = lane.queue.idleSince();
     const base::Duration age = idleSince ? m_context.clock.now() - *idleSince : base::Duration::zero();
-    const std::chrono::duration<double> drifted = health::driftedLatency(runs.mean(), usual, age);
+    const std::chrono::duration<double> drifted = health::decayedLatency(runs.mean(), usual, age);
     const double slowness = drifted / std::max(runs.mean(), shortestMean);
     return std::chrono::duration_cast<base::Duration>(runs.mean(route) * slowness);
 }
@@ -411,7 +411,7 @@
         }
         Lane *lane = laneOf(work->hop.server);
         work->overdue = true;
-        if (lane->hold.noteOverdue(now) == health::HoldChange::Held) {
+        if (lane->hold.recordOverdue(now) == health::HoldChange::Held) {
             tellHeld(*lane, "overdue");
         }
         const bool mayMoveOn
@@ -430,7 +430,7 @@
 
 void ServingNode::tick()
 {
-    m_pauses.look();
+    m_pauses.check();
     m_registry.tick();
     watchOverdue();
     poll();
@@ -597,7 +597,7 @@
     work->exchange = std::make_shared<net::HttpExchange>(m_context.io, m_context.backendPool, endpoint);
     m_context.metrics.observeQueueWait(server.service, work->started - work->arrived);
     m_context.health.attemptStarted(work->hop.server, work->healthKey(), work->hop.route);
-    m_runCalls.started(work->healthKey(), work->deadline);
+    m_runCalls.runStarted(work->healthKey(), work->deadline);
     Lane &lane = *laneOf(work->hop.server);
     lane.hold.started(work->healthKey(), work->started);
     PAPAYASTEP_LOG(INFO, logPrefix) << "Started an attempt." << base::field("request", work->hop.shownId())
@@ -642,14 +642,14 @@
 void ServingNode::finishWork(Work &work, health::AttemptOutcome outcome)
 {
     work.running = false;
-    m_runCalls.ended(work.healthKey());
+    m_runCalls.runEnded(work.healthKey());
     m_context.health.attemptFinished(work.hop.server, work.healthKey(), outcome, m_context.clock.now() - work.started);
     m_registry.finish({work.hop.requestId(), static_cast<int>(work.hop.attempt)});
     if (Lane *lane = laneOf(work.hop.server)) {
         const bool ranToItsEnd
             = outcome == health::AttemptOutcome::Success || outcome == health::AttemptOutcome::Timeout;
-        m_pauses.look();
-        lane->queue.finished(work.id(), ranToItsEnd && !m_pauses.stoodStillSince(work.started));
+        m_pauses.check();
+        lane->queue.finished(work.id(), ranToItsEnd && !m_pauses.pausedSince(work.started));
         m_context.metrics.countServed(
             {lane->server.service, health::name(outcome), m_context.clock.now() - work.started});
         noteOutcome(*lane, work, outcome);
@@ -674,7 +674,7 @@
 {
     const auto now = m_context.clock.now();
     const base::BackendServerId &server = lane.server.id;
-    m_context.gray.note(server, lane.hold.grayProbability(now));
+    m_context.gray.update(server, lane.hold.grayProbability(now));
     m_context.metrics.countHold(lane.server.service, evidence);
     PAPAYASTEP_LOG(INFO, logPrefix) << "Holds a backend server back." << base::field("server", server)
                                     << base::field("evidence", evidence)
@@ -691,7 +691,7 @@
 {
     const auto now = m_context.clock.now();
     const bool timedOut = outcome == health::AttemptOutcome::Timeout;
-    if (timedOut && (work.overdue || m_pauses.stoodStillSince(work.started))) {
+    if (timedOut && (work.overdue || m_pauses.pausedSince(work.started))) {
         // Counted when it became overdue, or the time has passed while this process stood still.
         outcome = health::AttemptOutcome::CancelledByUs;
     }
@@ -709,7 +709,7 @@
         break;
     }
     if (outcome == health::AttemptOutcome::Success) {
-        m_context.gray.note(work.hop.server, lane.hold.grayProbability(now));
+        m_context.gray.update(work.hop.server, lane.hold.grayProbability(now));
     } else if (isFailure(outcome)) {
         PAPAYASTEP_LOG(INFO, logPrefix) << "A backend server failed." << base::field("request", work.hop.shownId())
                                         << base::field("server", work.hop.server)
--- a/src/routing/leastcostplacement.cpp
+++ b/src/routing/leastcostplacement.cpp
@@ -1,6 +1,6 @@
 #include "papayastep/routing/leastcostplacement.h"
 
-#include "papayastep/health/failurefilter.h"
+#include "papayastep/health/grayfailureestimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -16,8 +16,8 @@
 /// it would get nothing for seconds, while its siblings are full.
 constexpr double leastWeight = 0.5;
 /// What the node beside the server goes by.
-constexpr double heldRisk = health::FailureFilterSettings().holdAbove;
-constexpr double trialRisk = health::FailureFilterSettings().trialAbove;
+constexpr double heldRisk = health::GrayFailureEstimatorSettings().holdThreshold;
+constexpr double trialRisk = health::GrayFailureEstimatorSettings().trialThreshold;
 /// What a server of which nothing was heard for seconds is taken for. Up to it servers count alike: if those that have
 /// just answered were preferred, half of the well servers of a calm service got nothing for two seconds at a time.
 constexpr double usualRisk = 0.2;
