--- a/src/include/papayastep/node/configurationfetcher.h
+++ b/src/include/papayastep/node/configurationfetcher.h
@@ -7,8 +7,8 @@
 
 namespace papayastep::node {
 
-/// Makes the platform calls that membership::ConfigDistributor decides on. The configuration and the VM list are read by two
-/// separate loops, so that a pending watch of one does not delay the other.
+/// Makes the platform calls that membership::ConfigDistributor decides on. The configuration and the VM list are read
+/// by two separate loops, so that a pending watch of one does not delay the other.
 class ConfigurationFetcher
 {
 public:
--- a/src/include/papayastep/node/servingnode.h
+++ b/src/include/papayastep/node/servingnode.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "papayastep/health/pausewatch.h"
-#include "papayastep/health/runcalls.h"
+#include "papayastep/health/nestedcalltracker.h"
+#include "papayastep/health/pausedetector.h"
 #include "papayastep/health/serverhold.h"
 #include "papayastep/limits/slotqueue.h"
 #include "papayastep/net/httpclient.h"
@@ -61,7 +61,7 @@
     void entryDisconnected(const base::RequestId &request, int attempt);
 
     /// The attempts that run at the backend servers of this VM and may make calls to other services.
-    health::RunCalls &runCalls();
+    health::NestedCallTracker &runCalls();
 
     void applyConfiguration();
 
@@ -108,8 +108,8 @@
     base::BackendServerId advise(const ActiveAttempt &activeAttempt);
 
     NodeContext &m_context;
-    health::PauseWatch m_pauses;
-    health::RunCalls m_runCalls;
+    health::PauseDetector m_pauses;
+    health::NestedCallTracker m_runCalls;
     routing::AttemptRegistry m_registry;
     std::map<base::BackendServerId, std::unique_ptr<LocalServer>> m_localServers;
     std::map<limits::AttemptId, ActiveAttemptPtr> m_attempts;
--- a/src/include/papayastep/node/settings.h
+++ b/src/include/papayastep/node/settings.h
@@ -47,9 +47,9 @@
     /// Longest time for which an ejected server receives no requests before it is tried again. If not set, it can be
     /// minutes after several ejections.
     std::optional<base::Duration> longestHold;
-    /// Whether gray servers are held back by health::FailureFilter alone. Its holds end after one or two seconds. The
-    /// ejections and trials of the slower health::HealthMonitor would leave healthy servers without requests for ten
-    /// seconds at a time.
+    /// Whether gray servers are held back by health::GrayFailureEstimator alone. Its holds end after one or two
+    /// seconds. The ejections and trials of the slower health::HealthMonitor would leave healthy servers without
+    /// requests for ten seconds at a time.
     bool usesOnlyFailureFilter() const
     {
         return placement == PlacementChoice::LeastCost;
--- a/src/include/papayastep/routing/grayserverpolicy.h
+++ b/src/include/papayastep/routing/grayserverpolicy.h
@@ -8,7 +8,7 @@
 struct GrayServerSettings
 {
     /// Fraction of its requests that a server fails during a gray failure.
-    double grayFailureRatio = health::FailureFilterSettings().grayFailures;
+    double grayFailureRatio = health::GrayFailureEstimatorSettings().grayFailureRate;
     /// Cost of a failed request that can be repeated: the work and the time of the repeat.
     double repeatCost = 0.15;
     /// Cost of a failed request that cannot be repeated: its caller has to find out whether it ran.
--- a/src/node/serverselector.cpp
+++ b/src/node/serverselector.cpp
@@ -52,7 +52,7 @@
 
 void ServerSelector::slotOffered(const wire::SlotOffer &offer)
 {
-    m_context.gray.note(offer.server, quoteOf(offer).failureRisk);
+    m_context.gray.update(offer.server, quoteOf(offer).failureRisk);
     m_context.idle.record(offer.server, quoteOf(offer).idle);
     if (m_survey) {
         m_survey->recordQuote(offer.server, quoteOf(offer));
--- a/src/node/servingnode.cpp
+++ b/src/node/servingnode.cpp
@@ -34,9 +34,9 @@
 constexpr std::size_t maxNotifiedEntries = 32;
 
 /// Probability of a gray failure above which an attempt that hangs is reported to its entry, so that it can be retried
-/// at another server. It must be below FailureFilterSettings::surest, which no estimate exceeds.
+/// at another server. It must be below GrayFailureEstimatorSettings::maxProbability, which no estimate exceeds.
 constexpr double hangReportProbability = 0.85;
-static_assert(hangReportProbability < health::FailureFilterSettings().surest);
+static_assert(hangReportProbability < health::GrayFailureEstimatorSettings().maxProbability);
 
 /// Lower bound of a mean run time, which limits the ratio of two run times if runs are very short.
 constexpr base::Duration minMeanRunTime = std::chrono::microseconds(1);
@@ -325,7 +325,7 @@
     }
 }
 
-health::RunCalls &ServingNode::runCalls()
+health::NestedCallTracker &ServingNode::runCalls()
 {
     return m_runCalls;
 }
@@ -378,7 +378,7 @@
 {
     const bool isWatched
         = activeAttempt.running && !activeAttempt.overdue && findLocalServer(activeAttempt.hop.server) != nullptr;
-    return isWatched && !m_pauses.stoodStillSince(activeAttempt.started);
+    return isWatched && !m_pauses.pausedSince(activeAttempt.started);
 }
 
 base::TimePoint ServingNode::overdueAt(const ActiveAttempt &activeAttempt)
@@ -401,7 +401,7 @@
     }
     const auto idleSince = localServer.queue.idleSince();
     const base::Duration age = idleSince ? m_context.clock.now() - *idleSince : base::Duration::zero();
-    const std::chrono::duration<double> drifted = health::driftedLatency(runs.mean(), usual, age);
+    const std::chrono::duration<double> drifted = health::decayedLatency(runs.mean(), usual, age);
     const double slowness = drifted / std::max(runs.mean(), minMeanRunTime);
     return std::chrono::duration_cast<base::Duration>(runs.mean(route) * slowness);
 }
@@ -419,7 +419,7 @@
         }
         LocalServer *localServer = findLocalServer(activeAttempt->hop.server);
         activeAttempt->overdue = true;
-        if (localServer->hold.noteOverdue(now) == health::HoldChange::Held) {
+        if (localServer->hold.recordOverdue(now) == health::HoldChange::Held) {
             notifyHold(*localServer, "overdue");
         }
         const bool mayRetry = activeAttempt->hop.idempotent
@@ -438,7 +438,7 @@
 
 void ServingNode::tick()
 {
-    m_pauses.look();
+    m_pauses.check();
     m_registry.tick();
     checkOverdueAttempts();
     poll();
@@ -612,7 +612,7 @@
     activeAttempt->exchange = std::make_shared<net::HttpExchange>(m_context.io, m_context.backendPool, endpoint);
     m_context.metrics.observeQueueWait(server.service, activeAttempt->started - activeAttempt->arrived);
     m_context.health.attemptStarted(activeAttempt->hop.server, activeAttempt->healthKey(), activeAttempt->hop.route);
-    m_runCalls.started(activeAttempt->healthKey(), activeAttempt->deadline);
+    m_runCalls.runStarted(activeAttempt->healthKey(), activeAttempt->deadline);
     LocalServer &localServer = *findLocalServer(activeAttempt->hop.server);
     localServer.hold.started(activeAttempt->healthKey(), activeAttempt->started);
     PAPAYASTEP_LOG(INFO, logPrefix)
@@ -658,16 +658,15 @@
 void ServingNode::finishAttempt(ActiveAttempt &activeAttempt, health::AttemptOutcome outcome)
 {
     activeAttempt.running = false;
-    m_runCalls.ended(activeAttempt.healthKey());
+    m_runCalls.runEnded(activeAttempt.healthKey());
     m_context.health.attemptFinished(
         activeAttempt.hop.server, activeAttempt.healthKey(), outcome, m_context.clock.now() - activeAttempt.started);
     m_registry.finish({activeAttempt.hop.requestId(), static_cast<int>(activeAttempt.hop.attempt)});
     if (LocalServer *localServer = findLocalServer(activeAttempt.hop.server)) {
         const bool ranToItsEnd
             = outcome == health::AttemptOutcome::Success || outcome == health::AttemptOutcome::Timeout;
-        m_pauses.look();
-        localServer->queue.finished(activeAttempt.id(),
-                                    ranToItsEnd && !m_pauses.stoodStillSince(activeAttempt.started));
+        m_pauses.check();
+        localServer->queue.finished(activeAttempt.id(), ranToItsEnd && !m_pauses.pausedSince(activeAttempt.started));
         m_context.metrics.countServed(
             {localServer->configured.service, health::name(outcome), m_context.clock.now() - activeAttempt.started});
         recordOutcome(*localServer, activeAttempt, outcome);
@@ -694,7 +693,7 @@
 {
     const auto now = m_context.clock.now();
     const base::BackendServerId &server = localServer.configured.id;
-    m_context.gray.note(server, localServer.hold.grayProbability(now));
+    m_context.gray.update(server, localServer.hold.grayProbability(now));
     m_context.metrics.countHold(localServer.configured.service, evidence);
     PAPAYASTEP_LOG(INFO, logPrefix) << "Held back a backend server." << base::field("server", server)
                                     << base::field("evidence", evidence)
@@ -713,7 +712,7 @@
 {
     const auto now = m_context.clock.now();
     const bool timedOut = outcome == health::AttemptOutcome::Timeout;
-    if (timedOut && (activeAttempt.overdue || m_pauses.stoodStillSince(activeAttempt.started))) {
+    if (timedOut && (activeAttempt.overdue || m_pauses.pausedSince(activeAttempt.started))) {
         // The failure was counted when the attempt became overdue, or the timeout passed while this process was paused.
         outcome = health::AttemptOutcome::CancelledByUs;
     }
@@ -731,7 +730,7 @@
         break;
     }
     if (outcome == health::AttemptOutcome::Success) {
-        m_context.gray.note(activeAttempt.hop.server, localServer.hold.grayProbability(now));
+        m_context.gray.update(activeAttempt.hop.server, localServer.hold.grayProbability(now));
     } else if (isFailure(outcome)) {
         PAPAYASTEP_LOG(INFO, logPrefix) << "A backend server failed."
                                         << base::field("request", activeAttempt.hop.shownId())
--- a/src/routing/leastcostplacement.cpp
+++ b/src/routing/leastcostplacement.cpp
@@ -1,6 +1,6 @@
 #include "papayastep/routing/leastcostplacement.h"
 
-#include "papayastep/health/failurefilter.h"
+#include "papayastep/health/grayfailureestimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -16,8 +16,8 @@
 /// tenth it would get no work for seconds, while its siblings are full.
 constexpr double minWeight = 0.5;
 /// The limits by which the node beside the server decides.
-constexpr double heldRisk = health::FailureFilterSettings().holdAbove;
-constexpr double trialRisk = health::FailureFilterSettings().trialAbove;
+constexpr double heldRisk = health::GrayFailureEstimatorSettings().holdThreshold;
+constexpr double trialRisk = health::GrayFailureEstimatorSettings().trialThreshold;
 /// Risk that is assumed for a server without news for seconds. Servers with lower risks count alike: if those that have
 /// just answered were preferred, half of the healthy servers of a service with little traffic would get no work for two
 /// seconds at a time.
