--- a/src/include/papayastep/routing/grayserverpolicy.h
+++ b/src/include/papayastep/routing/grayserverpolicy.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "papayastep/health/failurefilter.h"
+#include "papayastep/health/grayfailureestimator.h"
 
 namespace papayastep::routing {
 
