--- a/src/node/directoryupdater.cpp
+++ b/src/node/directoryupdater.cpp
@@ -144,15 +144,15 @@
 void DirectoryUpdater::requestMissingRevision()
 {
     const auto &configuration = m_context.active.configuration;
-    const base::Revision active = configuration ? configuration->revision() : 0;
-    if (!m_revisionPatience.isOver(active, m_context.clock.now())) {
+    const base::Revision activeRevision = configuration ? configuration->revision() : 0;
+    if (!m_revisionPatience.isOver(activeRevision, m_context.clock.now())) {
         return;
     }
     m_revisionPatience.noteAsked(m_context.clock.now());
-    const base::Revision heard = m_revisionPatience.newestHeard();
+    const base::Revision announced = m_revisionPatience.newestHeard();
     PAPAYASTEP_LOG(WARNING, logPrefix) << "No peer sent a revision in time; reading it from the platform."
-                                       << base::field("heard", heard) << base::field("revision", active);
-    m_onAnswer(heard, false);
+                                       << base::field("heard", announced) << base::field("revision", activeRevision);
+    m_onAnswer(announced, false);
 }
 
 net::Awaitable<void> DirectoryUpdater::pause(base::Duration duration)
--- a/src/node/entryrequest.cpp
+++ b/src/node/entryrequest.cpp
@@ -645,7 +645,7 @@
 /// Logs that a silent attempt, which was to be retried at another server, is still awaited.
 void EntryRequest::logContinuedWait(std::string_view reason) const
 {
-    PAPAYASTEP_LOG(INFO, logPrefix) << "Continues to wait for a silent attempt." << base::field("request", shownId())
+    PAPAYASTEP_LOG(INFO, logPrefix) << "Continued to wait for a silent attempt." << base::field("request", shownId())
                                     << base::field("attempt", m_progress.tries)
                                     << base::field("server", m_currentServer) << base::field("reason", reason)
                                     << base::field("heard", m_surveyTally);
@@ -727,7 +727,7 @@
     while (m_context.ledgerClient.isReporting(m_id)) {
         if (m_context.clock.now() >= limit) {
             PAPAYASTEP_LOG(INFO, "ledger")
-                << "Answers before the home of the idempotency key has recorded the end."
+                << "Stopped waiting for the home of the idempotency key to record the end."
                 << base::field("request", shownId()) << base::field("workspace", m_workspace);
             co_return;
         }
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -25,31 +25,27 @@
 
 NodeMetrics::NodeMetrics()
     : m_registry(std::make_shared<prometheus::Registry>())
-    , m_requests(
-          counters("requests_total", "Requests of callers that have ended (code 0: answered by a backend server)"),
-          {"service", "kind", "outcome", "code"})
+    , m_requests(counters("requests_total", "Requests of callers that ended (code 0: answered by a backend server)"),
+                 {"service", "kind", "outcome", "code"})
     , m_requestSeconds(histograms("request_seconds", "Time from the head of a request to its answer"),
                        {"service", "outcome"})
-    , m_attempts(counters("attempts_total", "Events of attempts, as reported to the entry"), {"service", "event"})
-    , m_retryDecisions(counters("retry_decisions_total", "Actions of the retry policy after attempts"),
-                       {"service", "action"})
-    , m_placements(counters("placements_total", "Attempts placed, by the reason for the choice of their server"),
+    , m_attempts(counters("attempts_total", "What was heard of attempts"), {"service", "event"})
+    , m_retryDecisions(counters("retry_decisions_total", "What was done after an attempt"), {"service", "action"})
+    , m_placements(counters("placements_total", "Attempts placed, by why their server was chosen"),
                    {"service", "reason"})
     , m_queueWait(histograms("queue_wait_seconds", "Time that attempts waited for a slot of a backend server"),
                   {"service"})
-    , m_served(counters("served_attempts_total", "Attempts that backend servers of this VM processed, by outcome"),
-               {"service", "outcome"})
-    , m_slotHeld(histograms("slot_held_seconds", "Time that attempts occupied a slot of a backend server"), {"service"})
+    , m_served(
+          counters("served_attempts_total", "Attempts that backend servers of this VM worked on, by how they ended"),
+          {"service", "outcome"})
+    , m_slotHeld(histograms("slot_held_seconds", "Time that attempts held a slot of a backend server"), {"service"})
     , m_refusedAttempts(counters("refused_attempts_total", "Attempts that this node refused before they ran"), {"code"})
-    , m_cancels(counters("cancels_total", "Cancel requests for attempts at this node, by its answer"), {"answer"})
-    , m_holds(counters("server_holds_total", "Number of times that a backend server of this VM was held back as gray"),
+    , m_cancels(counters("cancels_total", "Cancels of attempts that came to this node, by its answer"), {"answer"})
+    , m_holds(counters("server_holds_total", "Times that a backend server of this VM was held back as gray"),
               {"service", "evidence"})
-    , m_returns(counters("server_returns_total", "Number of times that a server that was held back answered again"),
-                {"service"})
-    , m_healthEvents(counters("health_events_total", "Decisions of the health monitor about servers and paths"),
-                     {"event"})
-    , m_reloads(counters("settings_reloads_total",
-                         "Changed settings files, by result: taken over, or rejected with the previous settings kept"),
+    , m_returns(counters("server_returns_total", "Times that a server held back answered again"), {"service"})
+    , m_healthEvents(counters("health_events_total", "Decisions about servers and paths"), {"event"})
+    , m_reloads(counters("settings_reloads_total", "Changed settings files, taken over or refused and kept from use"),
                 {"result"})
 {
 }
