--- a/src/health/assessment.cpp
+++ b/src/health/assessment.cpp
@@ -9,31 +9,33 @@
 
 namespace {
 
-constexpr double refusingWeight = 0.2; ///< Of a server that sheds or refuses: load, so less work, not none.
-constexpr double silentWeight = 0.5; ///< Of a sibling that is not heard of, while nothing speaks against its path.
+/// Of a server that sheds or refuses. That is load, so it gets less work, not none.
+constexpr double refusingWeight = 0.2;
+/// Of a sibling that sends no messages while there is no evidence against its path.
+constexpr double unreachableWeight = 0.5;
 constexpr double pathTrialWeight = 0.05;
-constexpr std::size_t trustedAnswers = 3; ///< Own answers after which told latencies no longer count.
-constexpr int boastDivisor = 4; ///< A told latency counts as at least this part of the siblings' median.
-const base::Duration freshLoad = std::chrono::seconds(5);
-const base::Duration freshEjection = std::chrono::minutes(1);
-const base::Duration returnDoubt = std::chrono::seconds(30);
+constexpr std::size_t minOwnAnswers = 3; ///< Own answers from which reported latencies no longer count.
+constexpr int minLatencyDivisor = 4; ///< A reported latency counts as at least this part of the siblings' median.
+const base::Duration maxLoadAge = std::chrono::seconds(5);
+const base::Duration maxEjectionReportAge = std::chrono::minutes(1);
+const base::Duration returnTrialTime = std::chrono::seconds(30);
 
-/// Works out one service. Lives for one call of assess().
+/// Assesses one service during one call of assess().
 class Assessor
 {
 public:
-    Assessor(const HealthState &knowledge, const base::ServiceId &service, base::TimePoint now)
-        : m_knowledge(knowledge)
+    Assessor(const HealthState &healthState, const base::ServiceId &service, base::TimePoint now)
+        : m_healthState(healthState)
         , m_service(service)
         , m_now(now)
-        , m_serves(knowledge.serves(service))
-        , m_servers(knowledge.configuration->serversOf(service))
+        , m_serves(healthState.serves(service))
+        , m_servers(healthState.configuration->serversOf(service))
     {
     }
 
     Assessment run()
     {
-        const config::Service *service = m_knowledge.configuration->service(m_service);
+        const config::Service *service = m_healthState.configuration->service(m_service);
         const double floor = service != nullptr ? service->floor : 0;
         std::vector<SiblingCondition> conditions;
         for (const config::BackendServer *server : m_servers) {
@@ -41,103 +43,105 @@
         }
         m_result.plan = planEjections(conditions, floor);
         m_avoided = planAvoided(conditions, floor);
-        m_result.usualLatency = medianToldLatency();
+        m_result.usualLatency = medianReportedLatency();
         for (const config::BackendServer *server : m_servers) {
             m_result.views[server->id] = view(*server);
         }
-        spreadIfNothingIsLeft();
+        spreadIfNoneIsUsable();
         return std::move(m_result);
     }
 
 private:
-    const RemoteServer *belief(const base::BackendServerId &id) const
+    const RemoteServer *remoteServer(const base::BackendServerId &id) const
     {
-        const auto found = m_knowledge.remoteServers.find(id);
-        return found != m_knowledge.remoteServers.end() ? &found->second : nullptr;
+        const auto found = m_healthState.remoteServers.find(id);
+        return found != m_healthState.remoteServers.end() ? &found->second : nullptr;
     }
 
     const LocalServer *own(const base::BackendServerId &id) const
     {
-        const auto found = m_knowledge.localServers.find(id);
-        return found != m_knowledge.localServers.end() ? &found->second : nullptr;
+        const auto found = m_healthState.localServers.find(id);
+        return found != m_healthState.localServers.end() ? &found->second : nullptr;
     }
 
-    bool silent(const config::BackendServer &server) const
+    bool isUnreachable(const config::BackendServer &server) const
     {
-        return m_serves && !m_knowledge.siblings.reachable(server.vm, m_now);
+        return m_serves && !m_healthState.siblings.reachable(server.vm, m_now);
     }
 
-    bool unlisted(const config::BackendServer &server) const
+    bool isUnlisted(const config::BackendServer &server) const
     {
-        const bool known = server.vm == m_knowledge.self.vm || m_knowledge.siblings.reachable(server.vm, m_now);
-        return !known && !m_knowledge.vmList.vms.empty() && m_knowledge.vmList.find(server.vm) == nullptr;
+        const bool known = server.vm == m_healthState.self.vm || m_healthState.siblings.reachable(server.vm, m_now);
+        return !known && !m_healthState.vmList.vms.empty() && m_healthState.vmList.find(server.vm) == nullptr;
     }
 
     ServerState state(const base::BackendServerId &id) const
     {
-        if (const LocalServer *beside = own(id)) {
-            return beside->lifecycle().state();
+        if (const LocalServer *local = own(id)) {
+            return local->lifecycle().state();
         }
-        const RemoteServer *told = belief(id);
-        return told != nullptr ? told->state : ServerState::Healthy;
+        const RemoteServer *reported = remoteServer(id);
+        return reported != nullptr ? reported->state : ServerState::Healthy;
     }
 
-    /// When the siblings of a server last said that it is ejected, if it has not spoken for itself since.
-    std::optional<base::TimePoint> saidEjected(const config::BackendServer &server) const
+    /// When the siblings of a server last reported it as ejected, unless its own node has sent a report since.
+    std::optional<base::TimePoint> ejectionReportTime(const config::BackendServer &server) const
     {
         if (m_serves) {
             return std::nullopt;
         }
-        const auto heard = m_knowledge.entry.reportedEjected(m_service, server.vm, shortHash(server.id.value()), m_now);
-        const RemoteServer *told = belief(server.id);
-        const bool spokeSince = heard && told != nullptr && told->receivedAt && *told->receivedAt > *heard;
-        return spokeSince ? std::nullopt : heard;
+        const auto reportedAt
+            = m_healthState.entry.reportedEjected(m_service, server.vm, shortHash(server.id.value()), m_now);
+        const RemoteServer *reported = remoteServer(server.id);
+        const bool reportedSince
+            = reportedAt && reported != nullptr && reported->receivedAt && *reported->receivedAt > *reportedAt;
+        return reportedSince ? std::nullopt : reportedAt;
     }
 
-    bool leaves(const config::BackendServer &server) const
+    bool isLeaving(const config::BackendServer &server) const
     {
-        return m_knowledge.leaving.contains(server.vm) || unlisted(server);
+        return m_healthState.leaving.contains(server.vm) || isUnlisted(server);
     }
 
     SiblingCondition condition(const config::BackendServer &server) const
     {
         SiblingCondition result{server.id, server.slots};
-        if (const LocalServer *beside = own(server.id)) {
-            result = beside->condition();
-        } else if (const RemoteServer *told = belief(server.id)) {
-            result.gone = told->state == ServerState::Draining || told->state == ServerState::Gone;
-            result.unhealthy = told->unhealthy;
-            result.ejected = told->state == ServerState::Ejected || told->state == ServerState::Trial;
-            result.severity = told->severity;
+        if (const LocalServer *local = own(server.id)) {
+            result = local->condition();
+        } else if (const RemoteServer *reported = remoteServer(server.id)) {
+            result.gone = reported->state == ServerState::Draining || reported->state == ServerState::Gone;
+            result.unhealthy = reported->unhealthy;
+            result.ejected = reported->state == ServerState::Ejected || reported->state == ServerState::Trial;
+            result.severity = reported->severity;
         }
-        if (saidEjected(server)) {
+        if (ejectionReportTime(server)) {
             result.unhealthy = true;
             result.ejected = true;
         }
-        result.gone = result.gone || server.drain || leaves(server) || silent(server);
+        result.gone = result.gone || server.drain || isLeaving(server) || isUnreachable(server);
         return result;
     }
 
-    /// What this entry alone avoids is cut by the same floor, with the ejected ones counted as gone.
+    /// The floor also limits which servers this entry node avoids on its own; ejected servers count as gone.
     EjectionPlan planAvoided(std::vector<SiblingCondition> conditions, double floor) const
     {
         for (SiblingCondition &server : conditions) {
-            const EntryEvidence *seen = m_knowledge.entry.server(server.id);
+            const EntryEvidence *entryEvidence = m_healthState.entry.server(server.id);
             server.gone = server.gone || m_result.plan.ejected.contains(server.id);
-            server.unhealthy = seen != nullptr && seen->weight() < 1;
+            server.unhealthy = entryEvidence != nullptr && entryEvidence->weight() < 1;
             server.ejected = false;
-            server.severity = seen != nullptr ? static_cast<int>(1000 * seen->failureShare()) : 0;
+            server.severity = entryEvidence != nullptr ? static_cast<int>(1000 * entryEvidence->failureShare()) : 0;
         }
         return planEjections(conditions, floor);
     }
 
-    base::Duration medianToldLatency() const
+    base::Duration medianReportedLatency() const
     {
         std::vector<std::uint8_t> steps;
         for (const config::BackendServer *server : m_servers) {
-            const RemoteServer *told = belief(server->id);
-            if (told != nullptr && told->latencySteps > 0) {
-                steps.push_back(told->latencySteps);
+            const RemoteServer *reported = remoteServer(server->id);
+            if (reported != nullptr && reported->latencySteps > 0) {
+                steps.push_back(reported->latencySteps);
             }
         }
         if (steps.empty()) {
@@ -157,7 +161,7 @@
         return view;
     }
 
-    static void refuse(ServerView &view, Availability availability, const char *reason)
+    static void setUnavailable(ServerView &view, Availability availability, const char *reason)
     {
         view.availability = availability;
         view.weight = 0;
@@ -167,42 +171,42 @@
     void addState(ServerView &view, const config::BackendServer &server) const
     {
         const ServerState current = state(server.id);
-        if (leaves(server) || current == ServerState::Gone) {
-            return refuse(view, Availability::Gone, "Its VM is leaving or gone.");
+        if (isLeaving(server) || current == ServerState::Gone) {
+            return setUnavailable(view, Availability::Gone, "Its VM is leaving or gone.");
         }
         if (server.drain || current == ServerState::Draining) {
-            return refuse(view, Availability::Draining, "It is draining.");
+            return setUnavailable(view, Availability::Draining, "It is draining.");
         }
         const bool ejected = m_result.plan.ejected.contains(server.id);
         if (ejected && current == ServerState::Trial) {
             view.availability = Availability::Trial;
-            view.weight = m_knowledge.settings.trialWeight;
-            view.reason = "It shows in a trial whether it has recovered.";
+            view.weight = m_healthState.settings.trialWeight;
+            view.reason = "A trial tests whether it has recovered.";
             return;
         }
-        if (ejected || ejectedWhenLastHeard(server, current)) {
-            return refuse(view, Availability::Ejected, "It is ejected as sick.");
+        if (ejected || ejectedInLastReport(server, current)) {
+            return setUnavailable(view, Availability::Ejected, "It is ejected as unhealthy.");
         }
         addWeight(view, server, current);
     }
 
-    /// An unreachable sibling counts as gone in the plan, which therefore says nothing about it.
-    bool ejectedWhenLastHeard(const config::BackendServer &server, ServerState current) const
+    /// An unreachable sibling counts as gone in the plan, which therefore does not contain it.
+    bool ejectedInLastReport(const config::BackendServer &server, ServerState current) const
     {
-        const RemoteServer *told = belief(server.id);
-        return silent(server) && current == ServerState::Ejected && told != nullptr && told->receivedAt
-            && m_now - *told->receivedAt < freshEjection;
+        const RemoteServer *reported = remoteServer(server.id);
+        return isUnreachable(server) && current == ServerState::Ejected && reported != nullptr && reported->receivedAt
+            && m_now - *reported->receivedAt < maxEjectionReportAge;
     }
 
     void addWeight(ServerView &view, const config::BackendServer &server, ServerState current) const
     {
-        const HealthSettings &settings = m_knowledge.settings;
-        const RemoteServer *told = belief(server.id);
+        const HealthSettings &settings = m_healthState.settings;
+        const RemoteServer *reported = remoteServer(server.id);
         view.reason = "It is healthy.";
-        if (const LocalServer *beside = own(server.id)) {
-            view.weight = std::max(beside->lifecycle().weight(m_now), settings.warmingStartWeight);
-        } else if (told != nullptr && current == ServerState::Warming) {
-            const double share = std::chrono::duration<double>(m_now - told->stateSince) / settings.warmingTime;
+        if (const LocalServer *local = own(server.id)) {
+            view.weight = std::max(local->lifecycle().weight(m_now), settings.warmingStartWeight);
+        } else if (reported != nullptr && current == ServerState::Warming) {
+            const double share = std::chrono::duration<double>(m_now - reported->stateSince) / settings.warmingTime;
             view.weight = std::clamp(share, settings.warmingStartWeight, 1.0);
         }
         if (current == ServerState::Warming) {
@@ -211,36 +215,38 @@
         if (m_result.plan.heldByFloor.contains(server.id)) {
             view.spread = m_result.plan.spread;
             view.weight = view.spread ? 1 : settings.floorWeight;
-            view.reason = view.spread ? "All servers look sick, so work goes to all." : "Sick, but the floor holds it.";
+            view.reason = view.spread ? "All servers look unhealthy, so work goes to all."
+                                      : "It is unhealthy, but the floor keeps it in use.";
         }
-        if (told != nullptr && !told->accepting) {
+        if (reported != nullptr && !reported->accepting) {
             view.weight *= refusingWeight;
-            view.reason = "It sheds or refuses work at the moment.";
+            view.reason = "It currently sheds or refuses work.";
         }
-        if (justReturned(server)) {
+        if (mayHaveReturned(server)) {
             view.availability = Availability::Trial;
             view.weight = settings.trialWeight;
-            view.reason = "Its siblings no longer call it ejected.";
+            view.reason = "Its siblings no longer report it as ejected.";
         }
-        if (silent(server)) {
-            view.weight *= silentWeight;
-            view.reason = "Its node was not heard of for a while.";
+        if (isUnreachable(server)) {
+            view.weight *= unreachableWeight;
+            view.reason = "Its node has sent no message for some time.";
         }
     }
 
-    /// Heard to be ejected a while ago, and nothing from itself since. An entry far away learns of the trial only
-    /// by the end of the accusations, and all such entries at once would flood the server.
-    bool justReturned(const config::BackendServer &server) const
+    /// Whether the last report of the server's own node, a short time ago, was that it is ejected. An entry node that
+    /// is no sibling detects the trial only because the others stop reporting the ejection; without a limit, all such
+    /// entry nodes would then overload the server at once.
+    bool mayHaveReturned(const config::BackendServer &server) const
     {
-        const RemoteServer *told = belief(server.id);
-        return !m_serves && told != nullptr && told->unhealthy && told->receivedAt
-            && m_now - *told->receivedAt < returnDoubt;
+        const RemoteServer *reported = remoteServer(server.id);
+        return !m_serves && reported != nullptr && reported->unhealthy && reported->receivedAt
+            && m_now - *reported->receivedAt < returnTrialTime;
     }
 
     void addPath(ServerView &view, const config::BackendServer &server) const
     {
-        const PathEvidence *path = m_knowledge.entry.path(server.vm);
-        if (path == nullptr || server.vm == m_knowledge.self.vm) {
+        const PathEvidence *path = m_healthState.entry.path(server.vm);
+        if (path == nullptr || server.vm == m_healthState.self.vm) {
             return;
         }
         view.path = path->state();
@@ -253,18 +259,18 @@
 
     void addOwnObservation(ServerView &view, const config::BackendServer &server) const
     {
-        const EntryEvidence *seen = m_knowledge.entry.server(server.id);
-        if (view.weight <= 0 || seen == nullptr || !m_avoided.ejected.contains(server.id)) {
+        const EntryEvidence *entryEvidence = m_healthState.entry.server(server.id);
+        if (view.weight <= 0 || entryEvidence == nullptr || !m_avoided.ejected.contains(server.id)) {
             return;
         }
-        view.weight = std::min(view.weight, seen->weight());
+        view.weight = std::min(view.weight, entryEvidence->weight());
         view.availability = view.usable() ? Availability::Trial : Availability::Ejected;
-        view.reason = "This entry saw it fail, whatever is told of it.";
+        view.reason = "Requests of this entry node failed there, contrary to the reports.";
     }
 
-    // Every way out looks closed: then what this node believes is more likely wrong than all servers at once, and
-    // a request that is tried somewhere has a better chance than one that is refused.
-    void spreadIfNothingIsLeft()
+    // If no server looks usable, an error in this node's estimates is more likely than a fault of all servers at once,
+    // and a request that is sent to any of them has a better chance than one that is refused.
+    void spreadIfNoneIsUsable()
     {
         auto &views = m_result.views;
         const auto open = [](const auto &entry) { return entry.second.usable(); };
@@ -281,12 +287,12 @@
             if (present(view) && (!anyPath || view.path != PathState::Broken)) {
                 view.weight = 1;
                 view.spread = true;
-                view.reason = "No server looks usable, so work goes to all that are left.";
+                view.reason = "No server looks usable, so work goes to all remaining ones.";
             }
         }
     }
 
-    const HealthState &m_knowledge;
+    const HealthState &m_healthState;
     const base::ServiceId &m_service;
     base::TimePoint m_now;
     bool m_serves;
@@ -312,42 +318,42 @@
     });
 }
 
-// A sibling that claims to be idle and quick would draw all traffic. So a claim is only taken between bounds
-// that this node can see for itself: its own attempts in flight there, and the latency it measured.
+// A sibling that wrongly reports to be idle and fast would attract all traffic. So a report is limited by what this
+// node can observe itself: its own attempts in flight there, and the latency that it measured.
 void addLoad(ServerView &view,
-             const HealthState &knowledge,
+             const HealthState &healthState,
              const config::BackendServer &server,
              base::Duration usualLatency,
              base::TimePoint now)
 {
-    const EntryEvidence *seen = knowledge.entry.server(server.id);
-    int inUse = seen != nullptr ? seen->inFlight() : 0;
-    const auto beside = knowledge.localServers.find(server.id);
-    const auto told = knowledge.remoteServers.find(server.id);
-    if (beside != knowledge.localServers.end()) {
-        inUse = std::max(inUse, static_cast<int>(beside->second.evidence().inFlight()));
-        view.queueLength = beside->second.queueLength();
-        view.latency = beside->second.latency(usualLatency, now);
+    const EntryEvidence *entryEvidence = healthState.entry.server(server.id);
+    int inUse = entryEvidence != nullptr ? entryEvidence->inFlight() : 0;
+    const auto local = healthState.localServers.find(server.id);
+    const auto reported = healthState.remoteServers.find(server.id);
+    if (local != healthState.localServers.end()) {
+        inUse = std::max(inUse, static_cast<int>(local->second.evidence().inFlight()));
+        view.queueLength = local->second.queueLength();
+        view.latency = local->second.latency(usualLatency, now);
         view.age = base::Duration::zero();
-    } else if (told != knowledge.remoteServers.end() && told->second.receivedAt) {
-        const RemoteServer &belief = told->second;
-        view.age = now - *belief.receivedAt;
-        if (*view.age <= freshLoad) {
-            inUse = std::max(inUse, belief.slotsInUse);
-            view.queueLength = belief.queueLength;
+    } else if (reported != healthState.remoteServers.end() && reported->second.receivedAt) {
+        const RemoteServer &remote = reported->second;
+        view.age = now - *remote.receivedAt;
+        if (*view.age <= maxLoadAge) {
+            inUse = std::max(inUse, remote.slotsInUse);
+            view.queueLength = remote.queueLength;
         }
-        const base::Duration latency = std::max(latencyOf(belief.latencySteps), usualLatency / boastDivisor);
-        view.latency = belief.latencySteps > 0 ? decayedLatency(latency, usualLatency, *view.age) : usualLatency;
+        const base::Duration latency = std::max(latencyOf(remote.latencySteps), usualLatency / minLatencyDivisor);
+        view.latency = remote.latencySteps > 0 ? decayedLatency(latency, usualLatency, *view.age) : usualLatency;
     }
-    if (seen != nullptr && seen->answers() >= trustedAnswers) {
-        view.latency = decayedLatency(seen->latency(), view.latency, now - *seen->lastAnswer());
+    if (entryEvidence != nullptr && entryEvidence->answers() >= minOwnAnswers) {
+        view.latency = decayedLatency(entryEvidence->latency(), view.latency, now - *entryEvidence->lastAnswer());
     }
     view.slotsInUse = std::min(inUse, server.slots);
 }
 
-Assessment assess(const HealthState &knowledge, const base::ServiceId &service, base::TimePoint now)
+Assessment assess(const HealthState &healthState, const base::ServiceId &service, base::TimePoint now)
 {
-    return Assessor(knowledge, service, now).run();
+    return Assessor(healthState, service, now).run();
 }
 
 }
--- a/src/health/assessment.h
+++ b/src/health/assessment.h
@@ -12,14 +12,14 @@
 
 namespace papayastep::health {
 
-/// A VM that is about to go.
+/// A VM that is leaving.
 struct LeavingVm
 {
-    base::Incarnation incarnation = 0; ///< 0: any; the platform does not know incarnations.
+    base::Incarnation incarnation = 0; ///< 0 stands for any, as the platform does not know incarnations.
     base::TimePoint since;
 };
 
-/// Everything a node knows; the monitor writes it, assessments read it.
+/// All health state of a node. The monitor writes it, and assessments read it.
 struct HealthState
 {
     HealthState(const NodeIdentity &self, std::uint64_t seed, const HealthSettings &settings);
@@ -34,23 +34,24 @@
     EntryState entry;
     std::map<base::VmId, LeavingVm> leaving;
 
-    /// Whether this VM has a server of `service` itself, so that its siblings keep it informed.
+    /// Whether this VM has a server of `service` itself, so that its siblings send it their state.
     bool serves(const base::ServiceId &service) const;
 };
 
-/// What a node makes of one service: the plan of ejections and a view of each server, without its load.
+/// Health assessment of one service: the plan of ejections and a view of each server, without its load.
 struct Assessment
 {
     EjectionPlan plan;
-    base::Duration usualLatency{}; ///< Median of what the servers' nodes tell.
+    base::Duration usualLatency{}; ///< Median of the latencies that the servers' nodes report; 0 if not known.
     std::unordered_map<base::BackendServerId, ServerView> views;
 };
 
-Assessment assess(const HealthState &knowledge, const base::ServiceId &service, base::TimePoint now);
+Assessment assess(const HealthState &healthState, const base::ServiceId &service, base::TimePoint now);
 
-/// Load changes with each request and is therefore read at each look, while the rest of a view is kept for a tick.
+/// Adds the current load to `view`. The load changes with each request and is therefore added at each query, while the
+/// rest of a view is cached for a tick.
 void addLoad(ServerView &view,
-             const HealthState &knowledge,
+             const HealthState &healthState,
              const config::BackendServer &server,
              base::Duration usualLatency,
              base::TimePoint now);
--- a/src/health/baselines.cpp
+++ b/src/health/baselines.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 const base::Duration ejectionTime = 30s;
-const base::Duration judgeInterval = 10s;
+const base::Duration evaluationInterval = 10s;
 const base::Duration latencyLimit = 500ms;
 constexpr int failuresInARow = 5;
 constexpr int smallestVolume = 100;
@@ -21,10 +21,10 @@
 
 }
 
-BaselineDetector::BaselineDetector(const ServiceProfile &shape, const base::ManualClock &clock)
-    : m_profile(shape)
+BaselineDetector::BaselineDetector(const ServiceProfile &profile, const base::ManualClock &clock)
+    : m_profile(profile)
     , m_clock(clock)
-    , m_ejectedUntil(static_cast<std::size_t>(shape.servers))
+    , m_ejectedUntil(static_cast<std::size_t>(profile.servers))
     , m_busy(m_ejectedUntil.size(), 0)
 {
 }
@@ -106,9 +106,9 @@
     m_ejections.push_back(Ejection{server, server});
 }
 
-ConsecutiveFailures::ConsecutiveFailures(const ServiceProfile &shape, const base::ManualClock &clock)
-    : BaselineDetector(shape, clock)
-    , m_failures(static_cast<std::size_t>(shape.servers), 0)
+ConsecutiveFailures::ConsecutiveFailures(const ServiceProfile &profile, const base::ManualClock &clock)
+    : BaselineDetector(profile, clock)
+    , m_failures(static_cast<std::size_t>(profile.servers), 0)
 {
 }
 
@@ -122,9 +122,9 @@
     }
 }
 
-SuccessRateOutlier::SuccessRateOutlier(const ServiceProfile &shape, const base::ManualClock &clock)
-    : BaselineDetector(shape, clock)
-    , m_good(static_cast<std::size_t>(shape.servers), 0)
+SuccessRateOutlier::SuccessRateOutlier(const ServiceProfile &profile, const base::ManualClock &clock)
+    : BaselineDetector(profile, clock)
+    , m_good(static_cast<std::size_t>(profile.servers), 0)
     , m_all(m_good.size(), 0)
     , m_evaluatedAt(clock.now())
 {
@@ -138,7 +138,7 @@
 
 void SuccessRateOutlier::evaluate(base::TimePoint now)
 {
-    if (now - m_evaluatedAt < judgeInterval) {
+    if (now - m_evaluatedAt < evaluationInterval) {
         return;
     }
     m_evaluatedAt = now;
@@ -170,9 +170,9 @@
     }
 }
 
-FixedLatencyLimit::FixedLatencyLimit(const ServiceProfile &shape, const base::ManualClock &clock)
-    : BaselineDetector(shape, clock)
-    , m_slow(static_cast<std::size_t>(shape.servers), 0)
+FixedLatencyLimit::FixedLatencyLimit(const ServiceProfile &profile, const base::ManualClock &clock)
+    : BaselineDetector(profile, clock)
+    , m_slow(static_cast<std::size_t>(profile.servers), 0)
 {
 }
 
@@ -187,22 +187,22 @@
 }
 
 std::unique_ptr<Detector> makeDetector(const std::string &variant,
-                                       const ServiceProfile &shape,
+                                       const ServiceProfile &profile,
                                        const base::ManualClock &clock,
                                        std::uint64_t seed,
                                        Link link)
 {
     if (variant == "papayastep") {
-        return std::make_unique<MonitorDetector>(shape, clock, seed, std::move(link));
+        return std::make_unique<MonitorDetector>(profile, clock, seed, std::move(link));
     }
     if (variant == "consecutive-failures") {
-        return std::make_unique<ConsecutiveFailures>(shape, clock);
+        return std::make_unique<ConsecutiveFailures>(profile, clock);
     }
     if (variant == "success-rate-outlier") {
-        return std::make_unique<SuccessRateOutlier>(shape, clock);
+        return std::make_unique<SuccessRateOutlier>(profile, clock);
     }
     if (variant == "fixed-latency-limit") {
-        return std::make_unique<FixedLatencyLimit>(shape, clock);
+        return std::make_unique<FixedLatencyLimit>(profile, clock);
     }
     throw std::invalid_argument("unknown variant " + variant);
 }
--- a/src/health/baselines.h
+++ b/src/health/baselines.h
@@ -4,15 +4,15 @@
 
 #include <deque>
 
-/// The usual detectors of proxies, to measure against. Not shipped. They hear more than they would in a proxy in
-/// front: every outcome of every entry, at once.
+/// The usual outlier detectors of proxies, as baselines of the measurements. Not shipped. They receive more than they
+/// would in a front proxy: every outcome of every entry node, at once.
 namespace papayastep::health::synthetic {
 
-/// What the baselines share: a fixed ejection time, and a limit on how many may be ejected.
+/// Common base of the baselines: a fixed ejection time and a limit on the number of ejected servers.
 class BaselineDetector : public Detector
 {
 public:
-    BaselineDetector(const ServiceProfile &shape, const base::ManualClock &clock);
+    BaselineDetector(const ServiceProfile &profile, const base::ManualClock &clock);
 
     void started(int server, const AttemptKey &key, const std::string &route) override;
     void finished(int server, const AttemptKey &key, AttemptOutcome outcome, base::Duration latency) override;
@@ -46,11 +46,11 @@
     std::vector<Ejection> m_ejections;
 };
 
-/// Five failures in a row.
+/// Ejects a server after five consecutive failures.
 class ConsecutiveFailures final : public BaselineDetector
 {
 public:
-    ConsecutiveFailures(const ServiceProfile &shape, const base::ManualClock &clock);
+    ConsecutiveFailures(const ServiceProfile &profile, const base::ManualClock &clock);
 
 protected:
     void record(int server, bool good, base::Duration latency) override;
@@ -59,11 +59,11 @@
     std::vector<int> m_failures;
 };
 
-/// Every ten seconds: a success rate below the mean by 1.9 standard deviations.
+/// Every ten seconds, ejects servers whose success rate is more than 1.9 standard deviations below the mean.
 class SuccessRateOutlier final : public BaselineDetector
 {
 public:
-    SuccessRateOutlier(const ServiceProfile &shape, const base::ManualClock &clock);
+    SuccessRateOutlier(const ServiceProfile &profile, const base::ManualClock &clock);
 
 protected:
     void record(int server, bool good, base::Duration latency) override;
@@ -75,11 +75,11 @@
     base::TimePoint m_evaluatedAt;
 };
 
-/// Five answers in a row that failed or took longer than half a second.
+/// Ejects a server after five consecutive answers that failed or took longer than half a second.
 class FixedLatencyLimit final : public BaselineDetector
 {
 public:
-    FixedLatencyLimit(const ServiceProfile &shape, const base::ManualClock &clock);
+    FixedLatencyLimit(const ServiceProfile &profile, const base::ManualClock &clock);
 
 protected:
     void record(int server, bool good, base::Duration latency) override;
@@ -88,9 +88,10 @@
     std::vector<int> m_slow;
 };
 
-/// `variant`: papayastep, consecutive-failures, success-rate-outlier or fixed-latency-limit.
+/// Creates the detector `variant`: papayastep, consecutive-failures, success-rate-outlier or fixed-latency-limit.
+/// Throws std::invalid_argument for any other.
 std::unique_ptr<Detector> makeDetector(const std::string &variant,
-                                       const ServiceProfile &shape,
+                                       const ServiceProfile &profile,
                                        const base::ManualClock &clock,
                                        std::uint64_t seed,
                                        Link link);
--- a/src/health/detection_test.cpp
+++ b/src/health/detection_test.cpp
@@ -13,24 +13,24 @@
 
 const base::Duration settled = 30s;
 
-/// A counter service of 8 servers on the manual clock, with traffic, and what became of it.
+/// A simulated counter service of 8 servers with traffic, and the results.
 struct FleetUnderFault
 {
-    ServiceProfile shape = smallCounter();
+    ServiceProfile profile = smallCounter();
     std::unique_ptr<Fleet> fleet;
     double smallestCapacity = 1;
 
     static ServiceProfile smallCounter()
     {
-        ServiceProfile shape = fleetServices("caribrite").front();
-        shape.servers = 8;
-        return shape;
+        ServiceProfile profile = fleetServices("caribrite").front();
+        profile.servers = 8;
+        return profile;
     }
 
     void begin(std::uint64_t seed = 1)
     {
-        fleet = std::make_unique<Fleet>(shape, seed, [&](const base::ManualClock &clock, Link link) {
-            return std::make_unique<MonitorDetector>(shape, clock, seed, std::move(link));
+        fleet = std::make_unique<Fleet>(profile, seed, [&](const base::ManualClock &clock, Link link) {
+            return std::make_unique<MonitorDetector>(profile, clock, seed, std::move(link));
         });
         fleet->onTick
             = [this](base::Duration) { smallestCapacity = std::min(smallestCapacity, fleet->smallestCapacity()); };
@@ -59,17 +59,17 @@
         }));
     }
 
-    int ejectionsOfOthers(const std::vector<int> &sick)
+    int ejectionsOfOthers(const std::vector<int> &faulty)
     {
         int others = 0;
-        for (int server = 0; server < shape.servers; ++server) {
-            const bool isSick = std::find(sick.begin(), sick.end(), server) != sick.end();
-            others += isSick ? 0 : count(HealthEventKind::Ejected, server);
+        for (int server = 0; server < profile.servers; ++server) {
+            const bool isFaulty = std::find(faulty.begin(), faulty.end(), server) != faulty.end();
+            others += isFaulty ? 0 : count(HealthEventKind::Ejected, server);
         }
         return others;
     }
 
-    /// Runs into `fault` of server 0 and checks that just this server is avoided after `limit`.
+    /// Starts `fault` of server 0 and checks that only this server is avoided after `limit`.
     void expectFound(Fault fault, base::Duration limit)
     {
         begin();
@@ -78,40 +78,43 @@
         run(limit);
         BOOST_TEST(fleet->avoidedShare(0) >= 0.5);
         BOOST_TEST(ejectionsOfOthers({0}) == 0);
-        BOOST_TEST(smallestCapacity >= shape.floor);
+        BOOST_TEST(smallestCapacity >= profile.floor);
     }
 };
 
 }
 
-// A disk dies slowly and every answer takes ten times as long. A vendor waits at the counter for each lookup that
-// lands on this server.
+// Every answer of a server takes ten times as long because of a failing disk. Guards against sending it requests, which
+// callers would wait for, until it fails completely.
 BOOST_FIXTURE_TEST_CASE(server_slowTenfold_isEjectedWithinTwoSeconds, FleetUnderFault)
 {
     expectFound(Fault::SlowTenfold, 2s);
 }
 
-// A noisy neighbour takes half of the processor. Users notice only that some pages are sluggish.
-BOOST_FIXTURE_TEST_CASE(server_slowTwice_isEjectedInTheEnd, FleetUnderFault)
+// A noisy neighbour takes half of the processor, and a server is twice as slow. Guards against a slowdown that is too
+// small to be ever detected.
+BOOST_FIXTURE_TEST_CASE(server_slowTwice_isEjectedWithinFifteenSeconds, FleetUnderFault)
 {
     expectFound(Fault::SlowTwice, 15s);
 }
 
-// A bad release on one server fails every third request, the others work. Callers see errors that come and go.
+// A faulty release on one server fails every third request. Guards against intermittent errors that are not detected
+// because the other requests succeed.
 BOOST_FIXTURE_TEST_CASE(server_failingAThird_isEjectedWithinTwoSeconds, FleetUnderFault)
 {
     expectFound(Fault::ErrorsOnThird, 2s);
 }
 
-// A deadlock: connections are taken and nothing comes back. Without looking at attempts in flight it would be seen
-// only when the first deadline passes, five seconds later.
+// A server accepts connections but never answers, because of a deadlock. Guards against evidence from ended attempts
+// only, with which a hang would be detected at the first deadline, five seconds later.
 BOOST_FIXTURE_TEST_CASE(server_thatHangs_isEjectedBeforeAnyDeadline, FleetUnderFault)
 {
     expectFound(Fault::Hang, 1s);
 }
 
-// The database connection of one server is gone. Its health endpoint does not need it and says all is well.
-BOOST_FIXTURE_TEST_CASE(server_halfAlive_isEjectedAgainstItsGoodHealthEndpoint, FleetUnderFault)
+// The database connection of a server is lost, and all requests fail. Its health endpoint does not need the database
+// and reports success. Guards against keeping the server in use because of the endpoint.
+BOOST_FIXTURE_TEST_CASE(server_halfAlive_isEjectedDespiteItsGoodHealthEndpoint, FleetUnderFault)
 {
     begin();
     run(settled);
@@ -124,8 +127,8 @@
     BOOST_TEST(ejectionsOfOthers({0}) == 0);
 }
 
-// A health endpoint answers badly on a server that does all its work well. Ejected for that, a good server would be
-// lost to a broken page.
+// The health endpoint of a server fails while all its requests succeed. Guards against ejecting a healthy server
+// because of its endpoint alone.
 BOOST_FIXTURE_TEST_CASE(server_withBadHealthEndpointOnly_staysInUse, FleetUnderFault)
 {
     begin();
@@ -135,28 +138,31 @@
     BOOST_TEST(count(HealthEventKind::Ejected, 0) == 0);
 }
 
-// Answers break off in the middle. A caller gets half a voucher list.
+// Answers of a server end in the middle, so that callers get incomplete data. Guards against counting them as
+// successes.
 BOOST_FIXTURE_TEST_CASE(server_answeringPartly_isEjectedWithinASecond, FleetUnderFault)
 {
     expectFound(Fault::Partial, 1s);
 }
 
-// A switch loses all packets to one VM, while packets from it arrive: its own state messages say that all is well.
-BOOST_FIXTURE_TEST_CASE(path_brokenTowardsVm_isAvoidedAndServerIsNotBlamed, FleetUnderFault)
+// A switch loses all packets to one VM while packets from it arrive, so its state messages report a healthy server.
+// Guards against using the path because of these messages, and against ejecting the server for a fault of the path.
+BOOST_FIXTURE_TEST_CASE(path_brokenTowardsVm_isAvoidedAndServerIsNotEjected, FleetUnderFault)
 {
     expectFound(Fault::OneWayTo, 3s);
     BOOST_TEST(count(HealthEventKind::Ejected, 0) == 0);
 }
 
-// Requests reach the VM and run, but neither acknowledgement nor answer comes back.
-BOOST_FIXTURE_TEST_CASE(path_brokenFromVm_isAvoidedAndServerIsNotBlamed, FleetUnderFault)
+// Requests reach the VM and run, but neither acknowledgements nor answers arrive. Guards against ejecting the server
+// for a fault of the path.
+BOOST_FIXTURE_TEST_CASE(path_brokenFromVm_isAvoidedAndServerIsNotEjected, FleetUnderFault)
 {
     expectFound(Fault::OneWayFrom, 3s);
     BOOST_TEST(count(HealthEventKind::Ejected, 0) == 0);
 }
 
-// A server is sick for three seconds, well for three, and so on. If each return were taken at its word, callers
-// would meet the sick phase ten times a minute.
+// A server fails for three seconds, works for three, and so on. Guards against returning it with its full share each
+// time, so that requests would meet the failing phase ten times a minute.
 BOOST_FIXTURE_TEST_CASE(server_thatFlaps_isHeldLongerEachTime, FleetUnderFault)
 {
     begin();
@@ -169,9 +175,9 @@
     BOOST_TEST(ejectionsOfOthers({0}) == 0);
 }
 
-// The hypervisor stops a VM for three seconds. Requests sent to it wait; after it wakes its own attempts look ages
-// old, and believed they would eject its healthy backend server.
-BOOST_FIXTURE_TEST_CASE(process_pausedAndWoken_isAvoidedMeanwhileAndBlamesNobodyAfter, FleetUnderFault)
+// The hypervisor pauses a VM for three seconds, and requests sent to it wait. Guards against ejecting its healthy
+// backend server after the pause, because its attempts in flight then look too old.
+BOOST_FIXTURE_TEST_CASE(process_pausedAndResumed_isAvoidedMeanwhileAndEjectsNobodyAfter, FleetUnderFault)
 {
     begin();
     run(settled);
@@ -184,7 +190,8 @@
     BOOST_TEST(fleet->avoidedShare(0) == 0);
 }
 
-// A whole availability zone becomes slow. All its servers are worse than the median and leave, the floor holds.
+// All servers of an availability zone become slow. Guards against ejecting only some of them, or more than the floor
+// allows.
 BOOST_FIXTURE_TEST_CASE(zone_thatIsSlow_isEjectedDownToTheFloorAtMost, FleetUnderFault)
 {
     begin();
@@ -194,10 +201,11 @@
     BOOST_TEST(fleet->avoidedShare(0) == 1);
     BOOST_TEST(fleet->avoidedShare(4) == 1);
     BOOST_TEST(ejectionsOfOthers({0, 4}) == 0);
-    BOOST_TEST(smallestCapacity >= shape.floor);
+    BOOST_TEST(smallestCapacity >= profile.floor);
 }
 
-// The shared database of all servers becomes slow. Ejecting any of them would only load the others more.
+// The shared database of all servers becomes slow. Guards against ejecting servers for it, which would only put more
+// load on the others.
 BOOST_FIXTURE_TEST_CASE(allServers_slowAtOnce_ejectNobody, FleetUnderFault)
 {
     begin();
@@ -207,8 +215,8 @@
     BOOST_TEST(ejectionsOfOthers({}) == 0);
 }
 
-// Two servers fall sick within the same second, in different ways.
-BOOST_FIXTURE_TEST_CASE(twoServers_sickAtOnce_areBothEjected, FleetUnderFault)
+// Two servers become faulty within the same second, in different ways. Guards against detecting only one of them.
+BOOST_FIXTURE_TEST_CASE(twoServers_faultyAtOnce_areBothEjected, FleetUnderFault)
 {
     begin();
     run(settled);
@@ -220,9 +228,10 @@
     BOOST_TEST(ejectionsOfOthers({1, 6}) == 0);
 }
 
-// Operators publish a new revision in the very second in which a server hangs, and one more while it is ejected.
-// If evidence or ejection were lost with each revision, a busy day of changes would keep a sick server in use.
-BOOST_FIXTURE_TEST_CASE(server_sickWhileConfigurationChanges_isEjectedAndStaysEjected, FleetUnderFault)
+// Operators publish a new revision in the second in which a server hangs, and another while it is ejected. Guards
+// against losing the evidence or the ejection with each revision, so that frequent changes keep a hanging server in
+// use.
+BOOST_FIXTURE_TEST_CASE(server_hangingWhileConfigurationChanges_isEjectedAndStaysEjected, FleetUnderFault)
 {
     begin();
     run(settled);
@@ -235,9 +244,9 @@
     BOOST_TEST(fleet->avoidedShare(0) == 1);
 }
 
-// Six of eight servers hang one after the other, with a floor of half. The last two can't carry the traffic alone;
-// ejecting all six would refuse most requests.
-BOOST_FIXTURE_TEST_CASE(floor_withMoreSickServersThanItAllows_holds, FleetUnderFault)
+// Six of eight servers fail one after the other, with a floor of one half. Guards against ejecting all six: the last
+// two cannot carry the traffic alone, and most requests would be refused.
+BOOST_FIXTURE_TEST_CASE(floor_withMoreFaultyServersThanItAllows_holds, FleetUnderFault)
 {
     begin();
     run(settled);
@@ -246,14 +255,14 @@
         run(700ms);
     }
     run(5s);
-    BOOST_TEST(smallestCapacity >= shape.floor);
+    BOOST_TEST(smallestCapacity >= profile.floor);
     BOOST_TEST(std::any_of(detector().events.begin(), detector().events.end(), [](const HealthEvent &event) {
         return event.kind == HealthEventKind::FloorHeld;
     }));
 }
 
-// A server hangs, recovers, and hangs again just as its trial begins. A trial that waits for answers which never
-// come would leave it in trial for ever, eating one request after the other.
+// A server still hangs when its trial begins. Guards against a trial that waits for answers without a limit, so that
+// the server stays in trial and loses one request after the other.
 BOOST_FIXTURE_TEST_CASE(server_whoseTrialHangs_isEjectedAgain, FleetUnderFault)
 {
     begin();
@@ -268,15 +277,15 @@
     BOOST_TEST(fleet->avoidedShare(0) == 0);
 }
 
-// The process of a backend server dies while the node beside it lives on. One refused connection is load and says
-// nothing; refusing everything while all siblings accept is death.
+// The process of a backend server dies while the node beside it continues. Guards against counting its refused
+// connections as load: a server that refuses all of them while all siblings accept is dead.
 BOOST_FIXTURE_TEST_CASE(server_refusingAllConnections_isEjected, FleetUnderFault)
 {
     expectFound(Fault::Refusing, 3s);
 }
 
-// A VM is replaced and its backend server comes up cold. Given its full share at once it would answer the first
-// requests slowly, just when many wait for it.
+// A VM is replaced, and its backend server starts cold. Guards against giving it its full share of work at once, which
+// it would answer slowly.
 BOOST_FIXTURE_TEST_CASE(server_ofRestartedNode_getsItsShareStepByStep, FleetUnderFault)
 {
     begin();
@@ -290,10 +299,10 @@
     BOOST_TEST(ejectionsOfOthers({}) == 0);
 }
 
-// A quarter of an hour without any fault, with stalls and errors as they happen every day.
+// A quarter of an hour without any fault, with ordinary stalls and errors. Guards against false ejections.
 BOOST_FIXTURE_TEST_CASE(fleet_withoutFault_ejectsNobody, FleetUnderFault)
 {
-    shape.prefer = config::DetectionPreference::FewEjections;
+    profile.prefer = config::DetectionPreference::FewEjections;
     begin(7);
     run(15min);
     BOOST_TEST(ejectionsOfOthers({}) == 0);
--- a/src/health/ejectionplan.cpp
+++ b/src/health/ejectionplan.cpp
@@ -7,26 +7,27 @@
 
 namespace {
 
-constexpr int ejectedLead = 50; ///< Percent of the ejection threshold.
-constexpr double slotTolerance = 1e-9; ///< 0.7 x 10 is not 7 in binary.
+constexpr int ejectedBonus = 50; ///< Percent of the ejection threshold.
+constexpr double slotTolerance = 1e-9; ///< Floating-point tolerance: 0.7 x 10 is not exactly 7.
 
 int rank(const SiblingCondition &server)
 {
-    return server.severity + (server.ejected ? ejectedLead : 0);
+    return server.severity + (server.ejected ? ejectedBonus : 0);
 }
 
 std::vector<const SiblingCondition *> worstFirst(const std::vector<SiblingCondition> &servers)
 {
-    std::vector<const SiblingCondition *> sick;
+    std::vector<const SiblingCondition *> unhealthyServers;
     for (const SiblingCondition &server : servers) {
         if (server.unhealthy && !server.gone) {
-            sick.push_back(&server);
+            unhealthyServers.push_back(&server);
         }
     }
-    std::sort(sick.begin(), sick.end(), [](const SiblingCondition *a, const SiblingCondition *b) {
-        return rank(*a) != rank(*b) ? rank(*a) > rank(*b) : a->id < b->id;
-    });
-    return sick;
+    std::sort(
+        unhealthyServers.begin(), unhealthyServers.end(), [](const SiblingCondition *a, const SiblingCondition *b) {
+            return rank(*a) != rank(*b) ? rank(*a) > rank(*b) : a->id < b->id;
+        });
+    return unhealthyServers;
 }
 
 }
--- a/src/health/ejectionplan.h
+++ b/src/health/ejectionplan.h
@@ -7,33 +7,34 @@
 
 namespace papayastep::health {
 
-/// What a plan knows about one backend server of a service.
+/// Condition of one backend server of a service, the input of planEjections().
 struct SiblingCondition
 {
     base::BackendServerId id;
     int slots = 1;
-    bool gone = false; ///< Draining, leaving or unreachable: no capacity, whatever the plan does.
-    bool unhealthy = false; ///< Its node claims that it should be ejected.
-    bool ejected = false; ///< It is ejected or in trial now.
-    int severity = 0; ///< Percent of the ejection threshold.
+    bool gone = false; ///< Draining, leaving or unreachable: without capacity whatever the plan is.
+    bool unhealthy = false; ///< Its node reports that it should be ejected.
+    bool ejected = false; ///< It is currently ejected or in trial.
+    int severity = 0; ///< Evidence against it in percent of the ejection threshold.
 
     auto operator<=>(const SiblingCondition &) const = default;
 };
 
-/// Which servers of a service are to be ejected, so that the floor holds. A pure function of its input: siblings
-/// with the same news come to the same plan without agreeing on anything.
+/// The servers of a service to eject without going below the floor. The plan depends on its input only: siblings with
+/// the same information make the same plan without coordination.
 struct EjectionPlan
 {
     std::set<base::BackendServerId> ejected;
-    std::set<base::BackendServerId> heldByFloor; ///< Sick, but the floor keeps them in use.
-    bool spread = false; ///< Everything that is left looks sick: nothing is ejected, work goes to all.
+    std::set<base::BackendServerId> heldByFloor; ///< Unhealthy, but kept in use by the floor.
+    bool spread = false; ///< All remaining servers look unhealthy: none is ejected, and all get work.
 
     auto operator<=>(const EjectionPlan &) const = default;
 };
 
-/// `floor` is the share of all configured slots that must stay in use. Worst first; a tie goes to the smaller id.
-/// Servers that are already ejected keep a lead, so that a server held in use, whose evidence goes on growing,
-/// does not swap places with one whose evidence is frozen.
+/// Plans the ejections of a service. `floor` is the share of all configured slots that must stay in use. Servers with
+/// the highest severity are ejected first, and of equal ones that with the smaller id. Servers that are already ejected
+/// get a bonus, so that a server that the floor keeps in use, whose evidence continues to grow, does not change places
+/// with one whose evidence is frozen.
 EjectionPlan planEjections(const std::vector<SiblingCondition> &servers, double floor);
 
 }
--- a/src/health/ejectionplan_test.cpp
+++ b/src/health/ejectionplan_test.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-SiblingCondition server(const std::string &id, int severity, bool sick = true)
+SiblingCondition server(const std::string &id, int severity, bool unhealthy = true)
 {
-    return SiblingCondition{base::BackendServerId(id), 4, false, sick, false, severity};
+    return SiblingCondition{base::BackendServerId(id), 4, false, unhealthy, false, severity};
 }
 
 std::vector<SiblingCondition> anyService()
@@ -34,8 +34,8 @@
 
 }
 
-// Whatever falls sick, drains and leaves at once: as long as enough is left, ejection itself must not be what takes
-// a service below its floor. Users would see refusals although servers stand idle.
+// Any servers are unhealthy, draining or leaving at the same time. Guards against ejections that take a service below
+// its floor, so that requests are refused although servers are idle.
 RC_BOOST_PROP(plan_ofAnyService_keepsTheFloor, ())
 {
     const auto servers = anyService();
@@ -50,7 +50,8 @@
     RC_ASSERT(plan.ejected.empty() || left >= floor * total - 1e-6);
 }
 
-// Siblings hear of each other in different orders. Two nodes with the same news must leave the same servers in use.
+// Siblings receive their messages in different orders. Guards against different plans of two nodes with the same
+// information.
 RC_BOOST_PROP(plan_ofAnyOrder_isTheSame, (std::uint64_t seed))
 {
     auto servers = anyService();
@@ -60,7 +61,7 @@
     RC_ASSERT(planEjections(servers, 0.5) == plan);
 }
 
-// Three are sick and the floor allows one: it must be the worst, else the worst goes on hurting callers.
+// Three servers are unhealthy and the floor allows one ejection. Guards against keeping the worst server in use.
 BOOST_AUTO_TEST_CASE(plan_atTheFloor_ejectsTheWorstFirst)
 {
     const EjectionPlan plan
@@ -69,9 +70,9 @@
     BOOST_TEST(plan.heldByFloor.size() == 2U);
 }
 
-// A held server gathers more evidence than an ejected one, whose evidence stands still. Without its lead the two
-// would swap places every few seconds, and each swap costs callers a sick server.
-BOOST_AUTO_TEST_CASE(plan_atTheFloor_doesNotSwapEjectedForHeld)
+// The evidence against a server that the floor keeps in use grows, while that against an ejected one is frozen. Guards
+// against exchanging the two every few seconds, which each time returns an unhealthy server to use.
+BOOST_AUTO_TEST_CASE(plan_atTheFloor_doesNotExchangeEjectedServers)
 {
     SiblingCondition ejected = server("a", 105);
     ejected.ejected = true;
@@ -80,8 +81,9 @@
     BOOST_TEST((plan.ejected == std::set{base::BackendServerId("a")}));
 }
 
-// All look bad: the fault is more likely shared, and some chance is better than none.
-BOOST_AUTO_TEST_CASE(plan_ofServersThatAllLookBad_spreadsOverAll)
+// All servers look unhealthy, probably because of a shared fault. Guards against refusing all requests, some of which
+// may succeed.
+BOOST_AUTO_TEST_CASE(plan_ofServersThatAllLookUnhealthy_spreadsOverAll)
 {
     const EjectionPlan plan = planEjections({server("a", 110), server("b", 120)}, 0);
     BOOST_TEST(plan.spread);
--- a/src/health/entryevidence.cpp
+++ b/src/health/entryevidence.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr double failureWeight = 0.05; ///< Of one hop in the running share of failures.
+constexpr double failureWeight = 0.05; ///< Weight of one hop in the moving average of failures.
 constexpr double scoreCap = 40;
-constexpr double silentMultiple = 20; ///< Usual latencies without an answer that count as a silence.
+constexpr double silentMultiple = 20; ///< A hop without an answer for so many usual latencies counts as unanswered.
 constexpr double silenceEvidence = 3;
 constexpr int probationAnswers = 5;
-constexpr int maxAvoided = 6;
+constexpr int maxAvoidances = 6;
 constexpr double probationEvidence = 4;
 const base::Duration shortestSilence = std::chrono::milliseconds(500);
 const base::Duration defaultSilence = std::chrono::seconds(5);
@@ -85,7 +85,7 @@
     const double limit = m_status == Status::Probation ? probationEvidence : threshold;
     if (m_status != Status::Avoided && score(now, usualLatency) >= limit) {
         m_status = Status::Avoided;
-        m_avoidances = std::min(m_avoidances + 1, maxAvoided);
+        m_avoidances = std::min(m_avoidances + 1, maxAvoidances);
         m_statusSince = now;
         return HealthEventKind::EntryEjected;
     }
--- a/src/health/entryevidence.h
+++ b/src/health/entryevidence.h
@@ -12,8 +12,8 @@
 
 namespace papayastep::health {
 
-/// What one entry itself saw of one backend server through acknowledged hops. It answers for the case that the
-/// serving node says "healthy" of a server whose answers, as the entry gets them, are broken or missing.
+/// Evidence of one entry node about one backend server from acknowledged hops. It covers the case that the serving node
+/// reports a server as healthy while the answers that the entry node receives are incomplete or missing.
 class EntryEvidence
 {
 public:
@@ -24,13 +24,14 @@
     void ended(const AttemptKey &key, HopOutcome outcome, base::Duration latency, base::TimePoint now);
     void invalidateInFlight();
 
-    /// Moves on with time. `usualLatency` is the siblings' (0: not known), `usualFailures` their share of failures.
+    /// Updates the status at time `now`. `usualLatency` is the siblings' latency (0 if not known) and `usualFailures`
+    /// their share of failures. Returns the event to report, if any.
     std::optional<HealthEventKind> advance(base::TimePoint now,
                                            double threshold,
                                            base::Duration usualLatency,
                                            double usualFailures);
 
-    /// 1 good, 0 avoided, between while it must show that it recovered.
+    /// The share of work: 1 if good, 0 if avoided, in between on probation.
     double weight() const;
     int inFlight() const;
     base::Duration latency() const;
--- a/src/health/entrystate.cpp
+++ b/src/health/entrystate.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const base::Duration hearsayLifetime = std::chrono::seconds(10);
+const base::Duration reportLifetime = std::chrono::seconds(10);
 const base::Duration idleLifetime = std::chrono::minutes(2);
 
 std::optional<bool> reachedBy(HopOutcome outcome)
@@ -84,13 +84,13 @@
                                const std::vector<std::uint32_t> &ejected,
                                base::TimePoint now)
 {
-    EjectionReport &hearsay = m_ejectionReports[service][from];
-    if (version < hearsay.version && now - hearsay.receivedAt < hearsayLifetime) {
+    EjectionReport &report = m_ejectionReports[service][from];
+    if (version < report.version && now - report.receivedAt < reportLifetime) {
         return false;
     }
-    const bool news = hearsay.ejected != ejected;
-    hearsay = EjectionReport{version, ejected, now};
-    return news;
+    const bool changed = report.ejected != ejected;
+    report = EjectionReport{version, ejected, now};
+    return changed;
 }
 
 std::optional<base::TimePoint> EntryState::reportedEjected(const base::ServiceId &service,
@@ -103,19 +103,19 @@
         return std::nullopt;
     }
     std::size_t reporters = 0;
-    std::size_t accusers = 0;
+    std::size_t ejectedReports = 0;
     base::TimePoint latest;
-    for (const auto &[reporter, hearsay] : found->second) {
-        if (reporter == vm || now - hearsay.receivedAt > hearsayLifetime) {
+    for (const auto &[reporter, report] : found->second) {
+        if (reporter == vm || now - report.receivedAt > reportLifetime) {
             continue;
         }
         ++reporters;
-        if (std::find(hearsay.ejected.begin(), hearsay.ejected.end(), server) != hearsay.ejected.end()) {
-            ++accusers;
-            latest = std::max(latest, hearsay.receivedAt);
+        if (std::find(report.ejected.begin(), report.ejected.end(), server) != report.ejected.end()) {
+            ++ejectedReports;
+            latest = std::max(latest, report.receivedAt);
         }
     }
-    return accusers > 0 && 2 * accusers >= reporters ? std::optional(latest) : std::nullopt;
+    return ejectedReports > 0 && 2 * ejectedReports >= reporters ? std::optional(latest) : std::nullopt;
 }
 
 std::unordered_map<base::BackendServerId, EntryEvidence> &EntryState::servers()
--- a/src/health/entrystate.h
+++ b/src/health/entrystate.h
@@ -11,7 +11,7 @@
 
 namespace papayastep::health {
 
-/// What this node knows as an entry: by its own hops, and by the reports that ride on their answers.
+/// What this node has observed as an entry node: the evidence of its own hops, and the reports on their answers.
 class EntryState
 {
 public:
@@ -23,13 +23,14 @@
         const base::VmId &vm, const AttemptKey &key, HopOutcome outcome, base::Duration latency, base::TimePoint now);
     void invalidate();
 
-    /// Which siblings of `service` the node on `from` holds for ejected. Returns whether that is news.
+    /// Records which siblings of `service` the node on `from` reports as ejected. Returns whether the set changed.
     bool recordEjected(const base::ServiceId &service,
                        const base::VmId &from,
                        std::uint64_t version,
                        const std::vector<std::uint32_t> &ejected,
                        base::TimePoint now);
-    /// When most of the recent reporters (its own VM aside) last said that `server` is ejected.
+    /// The time of the last report that `server` is ejected, if at least half of the recent reporters say so. Reports
+    /// of its own VM `vm` do not count.
     std::optional<base::TimePoint> reportedEjected(const base::ServiceId &service,
                                                    const base::VmId &vm,
                                                    std::uint32_t server,
@@ -39,7 +40,7 @@
     std::map<base::VmId, PathEvidence> &paths();
     const EntryEvidence *server(const base::BackendServerId &id) const;
     const PathEvidence *path(const base::VmId &vm) const;
-    /// Drops what was not used or heard of for long, so that memory follows the traffic, not the fleet.
+    /// Removes entries without recent use or report, so that the memory depends on the traffic, not on the fleet.
     void expire(base::TimePoint now);
 
 private:
--- a/src/health/grayfailureestimator.cpp
+++ b/src/health/grayfailureestimator.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-/// Never quite sure that a server is well, so that a change is always seen.
-constexpr double leastGray = 0.001;
+/// Lower bound of the probability, so that a change can always be detected.
+constexpr double minProbability = 0.001;
 
 double perSecond(base::Duration mean)
 {
     return 1 / std::chrono::duration<double>(mean).count();
 }
 
-/// Share of time that spells take in the long run.
-double shareOfSpells(const GrayFailureEstimatorSettings &settings)
+/// Long-term share of time that gray failures take.
+double grayTimeShare(const GrayFailureEstimatorSettings &settings)
 {
     const double begin = perSecond(settings.meanHealthyTime);
     return begin / (begin + perSecond(settings.meanGrayTime));
@@ -26,7 +26,7 @@
 
 GrayFailureEstimator::GrayFailureEstimator(base::TimePoint now, const GrayFailureEstimatorSettings &settings)
     : m_settings(settings)
-    , m_probability(shareOfSpells(settings))
+    , m_probability(grayTimeShare(settings))
     , m_updated(now)
     , m_lastFailure(now)
 {
@@ -58,12 +58,13 @@
     updateEpisode(now);
 }
 
-/// Bayes' rule, on what the past makes likely by now.
-void GrayFailureEstimator::applyEvidence(double ifGray, double ifWell, base::TimePoint now)
+/// Applies Bayes' rule with the estimate for `now` as the prior.
+void GrayFailureEstimator::applyEvidence(double likelihoodIfGray, double likelihoodIfHealthy, base::TimePoint now)
 {
     const double prior = grayProbability(now);
-    const double gray = prior * ifGray;
-    m_probability = std::clamp(gray / (gray + (1 - prior) * ifWell), leastGray, m_settings.maxProbability);
+    const double gray = prior * likelihoodIfGray;
+    m_probability
+        = std::clamp(gray / (gray + (1 - prior) * likelihoodIfHealthy), minProbability, m_settings.maxProbability);
     m_updated = now;
 }
 
@@ -78,11 +79,11 @@
 
 void GrayFailureEstimator::setProbability(double probability, base::TimePoint now)
 {
-    m_probability = std::clamp(probability, leastGray, 1 - leastGray);
+    m_probability = std::clamp(probability, minProbability, 1 - minProbability);
     m_updated = now;
 }
 
-/// A spell that has lasted for some time is expected to last as long again.
+/// A gray failure that has lasted for some time is expected to last as long again.
 base::Duration GrayFailureEstimator::expectedGrayTime() const
 {
     return m_episodeStart ? std::max(m_settings.meanGrayTime, m_lastFailure - *m_episodeStart)
@@ -91,10 +92,10 @@
 
 double GrayFailureEstimator::grayProbability(base::TimePoint now) const
 {
-    const double rest = shareOfSpells(m_settings);
+    const double longTerm = grayTimeShare(m_settings);
     const double change = perSecond(m_settings.meanHealthyTime) + perSecond(expectedGrayTime());
     const double passed = std::max(0.0, std::chrono::duration<double>(now - m_updated).count());
-    return rest + (m_probability - rest) * std::exp(-change * passed);
+    return longTerm + (m_probability - longTerm) * std::exp(-change * passed);
 }
 
 bool GrayFailureEstimator::isHeld(base::TimePoint now) const
@@ -102,13 +103,13 @@
     return grayProbability(now) > m_settings.holdThreshold;
 }
 
-bool GrayFailureEstimator::admits(bool idempotent, bool scouted, base::TimePoint now) const
+bool GrayFailureEstimator::admits(bool idempotent, bool trialInFlight, base::TimePoint now) const
 {
     const double probability = grayProbability(now);
     if (probability <= m_settings.trialThreshold) {
         return true;
     }
-    if (!idempotent || scouted) {
+    if (!idempotent || trialInFlight) {
         return false;
     }
     return probability <= m_settings.holdThreshold || now - m_updated >= m_settings.trialInterval;
--- a/src/health/grayfailureestimator_test.cpp
+++ b/src/health/grayfailureestimator_test.cpp
@@ -8,125 +8,126 @@
 
 namespace {
 
-struct FilterFixture
+struct EstimatorFixture
 {
     base::ManualClock clock;
-    GrayFailureEstimator filter{clock.now()};
+    GrayFailureEstimator estimator{clock.now()};
 
     void answer(bool failed, base::Duration later = 200ms)
     {
         clock.advance(later);
-        filter.recordEnd(failed ? RunEnd::Broken : RunEnd::Answered, clock.now());
+        estimator.recordEnd(failed ? RunEnd::Broken : RunEnd::Answered, clock.now());
     }
-    bool admitsScout() const
+    bool admitsTrialRequest() const
     {
-        return filter.isHeld(clock.now()) && filter.admits(true, false, clock.now());
+        return estimator.isHeld(clock.now()) && estimator.admits(true, false, clock.now());
     }
     bool admitsAll() const
     {
-        return filter.admits(false, false, clock.now());
+        return estimator.admits(false, false, clock.now());
     }
 };
 
 }
 
-// A server that answered well begins to fail most of its requests. Each refund that is sent there meanwhile is lost, so
-// the first failure must be enough.
-BOOST_FIXTURE_TEST_CASE(filter_atTheFirstFailure_holds, FilterFixture)
+// A healthy server begins to fail most of its requests. Guards against further requests to it after the first failure,
+// as each refund that is sent there is lost.
+BOOST_FIXTURE_TEST_CASE(estimator_atTheFirstFailure_holds, EstimatorFixture)
 {
     for (int i = 0; i < 10; ++i) {
         answer(false);
     }
-    BOOST_TEST(!filter.isHeld(clock.now()));
+    BOOST_TEST(!estimator.isHeld(clock.now()));
     answer(true);
-    BOOST_TEST(filter.isHeld(clock.now()));
+    BOOST_TEST(estimator.isHeld(clock.now()));
 }
 
-// The spell is over after some seconds, and nothing is sent that could show it. A hold without an end would take the
-// server out of use for good.
-BOOST_FIXTURE_TEST_CASE(filter_withoutNews_comesToATrialWithinTwoSeconds, FilterFixture)
+// A gray failure ends after some seconds, while no request is sent that could detect the end. Guards against holding
+// the server without a limit.
+BOOST_FIXTURE_TEST_CASE(estimator_withoutEvidence_admitsATrialWithinTwoSeconds, EstimatorFixture)
 {
     for (int i = 0; i < 5; ++i) {
         answer(true);
     }
-    BOOST_TEST(filter.isHeld(clock.now()));
+    BOOST_TEST(estimator.isHeld(clock.now()));
     clock.advance(1500ms);
-    BOOST_TEST(admitsScout());
-    BOOST_TEST(!filter.admits(true, true, clock.now()));
+    BOOST_TEST(admitsTrialRequest());
+    BOOST_TEST(!estimator.admits(true, true, clock.now()));
     answer(false, 300ms);
-    BOOST_TEST(!filter.isHeld(clock.now()));
+    BOOST_TEST(!estimator.isHeld(clock.now()));
     BOOST_TEST(admitsAll());
 }
 
-// The trial request fails as well: the server must not get more.
-BOOST_FIXTURE_TEST_CASE(filter_afterAFailedTrial_holdsAgain, FilterFixture)
+// The trial request fails, too. Guards against further requests to the server.
+BOOST_FIXTURE_TEST_CASE(estimator_afterAFailedTrial_holdsAgain, EstimatorFixture)
 {
     answer(true);
     answer(true);
     clock.advance(1500ms);
     answer(true, 1ms);
-    BOOST_TEST(filter.isHeld(clock.now()));
+    BOOST_TEST(estimator.isHeld(clock.now()));
 }
 
-// Requests that run for three times the usual and more are rare at a well server; two of them are hardly an accident.
-BOOST_FIXTURE_TEST_CASE(filter_withTwoOverdueRequests_holds, FilterFixture)
+// Two requests at a server run for three times the usual time and more, which is rare at a healthy server. Guards
+// against waiting for their ends.
+BOOST_FIXTURE_TEST_CASE(estimator_withTwoOverdueRequests_holds, EstimatorFixture)
 {
     answer(false);
-    filter.recordOverdue(clock.now());
-    filter.recordOverdue(clock.now());
-    BOOST_TEST(filter.isHeld(clock.now()));
+    estimator.recordOverdue(clock.now());
+    estimator.recordOverdue(clock.now());
+    BOOST_TEST(estimator.isHeld(clock.now()));
 }
 
-BOOST_FIXTURE_TEST_CASE(filter_atOrdinaryFailureShare_mostlyLetsWorkThrough, FilterFixture)
+BOOST_FIXTURE_TEST_CASE(estimator_atOrdinaryFailureShare_mostlyAdmitsWork, EstimatorFixture)
 {
     int held = 0;
     for (int i = 0; i < 2000; ++i) {
         answer(i % 80 == 0);
-        held += filter.isHeld(clock.now()) ? 1 : 0;
+        held += estimator.isHeld(clock.now()) ? 1 : 0;
     }
     BOOST_TEST(held < 200);
 }
 
-// Some errors are the ordinary answers of a well server. Guards against taking it out of use for one of them when it is
-// needed most; two in a row are hardly an accident.
-BOOST_FIXTURE_TEST_CASE(filter_atOneError_letsWorkThroughUntilTheNext, FilterFixture)
+// A healthy server answers some requests with an error. Guards against holding it for one error under high load; two
+// consecutive errors are improbable at a healthy server.
+BOOST_FIXTURE_TEST_CASE(estimator_atOneError_admitsWorkUntilTheNext, EstimatorFixture)
 {
     for (int i = 0; i < 10; ++i) {
         answer(false);
     }
-    filter.recordEnd(RunEnd::Error, clock.now());
+    estimator.recordEnd(RunEnd::Error, clock.now());
     BOOST_TEST(admitsAll());
     clock.advance(100ms);
-    filter.recordEnd(RunEnd::Error, clock.now());
-    BOOST_TEST(filter.isHeld(clock.now()));
+    estimator.recordEnd(RunEnd::Error, clock.now());
+    BOOST_TEST(estimator.isHeld(clock.now()));
 }
 
-// A spell of nine seconds, met by a booking whenever one is let through and by a lookup a second. Guards against losing
-// a booking every two seconds because time alone ended the hold.
-BOOST_FIXTURE_TEST_CASE(filter_inALongSpell_isProbedByScoutsOnly, FilterFixture)
+// A gray failure lasts nine seconds, while a booking is sent whenever one is admitted and a lookup every second. Guards
+// against losing a booking every two seconds because the hold ended by time alone.
+BOOST_FIXTURE_TEST_CASE(estimator_inALongGrayFailure_admitsTrialRequestsOnly, EstimatorFixture)
 {
     for (int i = 0; i < 10; ++i) {
         answer(false);
     }
     int lostBookings = 0;
-    int scouts = 0;
+    int trialRequests = 0;
     for (int step = 0; step < 90; ++step) {
         clock.advance(100ms);
         if (admitsAll()) {
             ++lostBookings;
-            filter.recordEnd(RunEnd::Broken, clock.now());
-        } else if (filter.admits(true, false, clock.now())) {
-            ++scouts;
-            filter.recordEnd(RunEnd::Broken, clock.now());
+            estimator.recordEnd(RunEnd::Broken, clock.now());
+        } else if (estimator.admits(true, false, clock.now())) {
+            ++trialRequests;
+            estimator.recordEnd(RunEnd::Broken, clock.now());
         }
     }
     BOOST_TEST(lostBookings == 1);
-    BOOST_TEST(scouts >= 5);
-    BOOST_TEST(scouts <= 9);
+    BOOST_TEST(trialRequests >= 5);
+    BOOST_TEST(trialRequests <= 9);
     for (int answers = 0; answers < 2; ++answers) {
         clock.advance(1s);
-        BOOST_TEST(filter.admits(true, false, clock.now()));
-        filter.recordEnd(RunEnd::Answered, clock.now());
+        BOOST_TEST(estimator.admits(true, false, clock.now()));
+        estimator.recordEnd(RunEnd::Answered, clock.now());
     }
     BOOST_TEST(admitsAll());
 }
--- a/src/health/healthmonitor.cpp
+++ b/src/health/healthmonitor.cpp
@@ -12,17 +12,20 @@
 
 namespace {
 
-constexpr double smallestRate = 5; ///< Requests per second assumed of an idle server, for the threshold.
-constexpr double entryRate = 5; ///< Hops per second assumed from one entry to one VM, for the threshold.
+constexpr double minRequestRate = 5; ///< Lower bound of a server's requests per second, for the threshold.
+constexpr double assumedHopRate = 5; ///< Assumed hops per second from one entry node to one VM, for the threshold.
 constexpr int suspectPercent = 50;
-constexpr int severityStep = 25; ///< Percent.
-constexpr std::size_t tellingAnswers = 8; ///< Before a route's median is told to siblings.
+constexpr int severityStep = 25; ///< Width of an announced severity level in percent.
+constexpr std::size_t minReportedAnswers = 8; ///< Answers from which a route's median is sent to siblings.
 const base::Duration referenceLifetime = std::chrono::milliseconds(200);
 const base::Duration expiryInterval = std::chrono::seconds(10);
-const base::Duration beliefLifetime = std::chrono::minutes(2);
-const base::Duration quietTime = std::chrono::seconds(5); ///< Without traffic, before a probe is worth its cost.
-const base::Duration awakeTime = std::chrono::seconds(1); ///< Regular ticks that count as fresh evidence.
-const base::Duration farewellTime = std::chrono::seconds(30); ///< Longer than late answers of a leaving VM take.
+const base::Duration remoteServerLifetime = std::chrono::minutes(2);
+/// Time without traffic before a probe, and between two probes.
+const base::Duration idleTime = std::chrono::seconds(5);
+/// Time of regular ticks after a pause that counts as new evidence.
+const base::Duration regularTickTime = std::chrono::seconds(1);
+/// Longer than late answers of a leaving VM take to arrive.
+const base::Duration lateAnswerTime = std::chrono::seconds(30);
 
 bool prefersFew(const config::Service *service)
 {
@@ -41,7 +44,7 @@
     {
     }
 
-    /// The time now. Finds out about pauses, so every call must take its time from here.
+    /// Returns the current time. It also detects pauses, so every call must take its time from here.
     base::TimePoint now()
     {
         const base::TimePoint time = m_clock.now();
@@ -71,7 +74,7 @@
         return found != m_state.localServers.end() ? &found->second : nullptr;
     }
 
-    /// Runs `note`, which may show that a broken path works again.
+    /// Runs `note`, and reports the path as working again if `note` has changed its state to good.
     template<typename Note>
     void hopReached(const base::VmId &vm, const Note &note)
     {
@@ -103,13 +106,13 @@
     HealthCounters m_counters;
 
 private:
-    /// What siblings hear of at once. The severity is among it: if all servers suffer alike, each must learn of it
-    /// before its own evidence is full, or all would eject themselves for a fault that they share.
+    /// Part of the state whose changes are sent to siblings at once. It includes the severity: if all servers have the
+    /// same fault, each must know before its own evidence reaches the threshold, or all would eject themselves.
     struct Announcement
     {
         ServerState state = ServerState::Warming;
         bool unhealthy = false;
-        int severityLevel = 0; ///< Of severity.
+        int severityLevel = 0; ///< Severity in units of severityStep.
 
         auto operator<=>(const Announcement &) const = default;
     };
@@ -139,22 +142,22 @@
     bool m_upToDate = false;
     std::map<base::ServiceId, std::pair<base::TimePoint, Assessment>> m_assessments;
     std::map<base::ServiceId, std::set<base::BackendServerId>> m_ejectedSets;
-    std::map<base::VmId, bool> m_prefersFew; ///< By VM: whether some service on it prefers few ejections.
+    std::map<base::VmId, bool> m_prefersFew; ///< Whether some service on the VM prefers few ejections, by VM.
     std::uint64_t m_ejectedVersion = 1;
     std::map<base::BackendServerId, Announcement> m_announced;
     std::map<base::BackendServerId, base::TimePoint> m_probedAt;
 };
 
-// A process that slept holds beliefs from before: siblings may have been ejected or replaced, and its own attempts
-// look as if the backend server had hung. Acting on that would eject healthy servers, and telling it would mislead
-// the siblings. So it starts from nothing and stays silent until something fresh has come.
+// After a pause the state of the process is outdated: siblings may have been ejected or replaced, and its own attempts
+// look as if the backend server had hung. Acting on that would eject healthy servers, and sending it would mislead the
+// siblings. So the process discards its state and sends nothing until there is new evidence.
 void HealthMonitor::Impl::handlePause(base::TimePoint time)
 {
     for (auto &[id, server] : m_state.localServers) {
         server.invalidate();
     }
-    for (auto &[id, belief] : m_state.remoteServers) {
-        belief.invalidate();
+    for (auto &[id, remote] : m_state.remoteServers) {
+        remote.invalidate();
     }
     m_state.siblings.invalidate();
     m_state.entry.invalidate();
@@ -164,8 +167,10 @@
     m_lastPauseEnd = time;
     invalidateAssessments();
     ++m_counters.pauses;
-    report(HealthEvent{
-        HealthEventKind::WokeFromPause, {}, m_state.self.vm, "The process was paused; earlier beliefs are dropped."});
+    report(HealthEvent{HealthEventKind::WokeFromPause,
+                       {},
+                       m_state.self.vm,
+                       "The process was paused; its earlier health state is discarded."});
 }
 
 void HealthMonitor::Impl::applyConfiguration(const config::ConfigurationPtr &configuration)
@@ -189,7 +194,7 @@
 void HealthMonitor::Impl::updateLocalServers(base::TimePoint time)
 {
     const config::Configuration &configuration = *m_state.configuration;
-    // A server at another address is another process: its evidence must not be inherited.
+    // A server at another address is another process and must not inherit the evidence.
     std::erase_if(m_state.localServers, [&](const auto &entry) {
         const config::BackendServer &before = entry.second.configured();
         const config::BackendServer *after = configuration.backendServer(entry.first);
@@ -216,7 +221,7 @@
         return;
     }
     const config::BackendServer &configured = server.configured();
-    report(HealthEvent{HealthEventKind::Draining, configured.id, configured.vm, "Operators drain the server."});
+    report(HealthEvent{HealthEventKind::Draining, configured.id, configured.vm, "Operators are draining the server."});
 }
 
 void HealthMonitor::Impl::applyVmList(const config::VmList &list)
@@ -255,7 +260,7 @@
         }
     }
     invalidateAssessments();
-    report(HealthEvent{HealthEventKind::Gone, {}, vm, "The VM is leaving; it gets no new work."});
+    report(HealthEvent{HealthEventKind::Gone, {}, vm, "The VM is leaving and gets no new work."});
 }
 
 void HealthMonitor::Impl::applyReport(const base::VmId &from, const ServerReport &report)
@@ -269,17 +274,18 @@
         ++m_counters.messagesIgnored;
         return;
     }
-    const bool atWork = report.state != static_cast<std::uint8_t>(ServerState::Gone);
+    const bool isPresent = report.state != static_cast<std::uint8_t>(ServerState::Gone);
     const auto leaving = m_state.leaving.find(from);
-    if (atWork && leaving != m_state.leaving.end() && time - leaving->second.since > farewellTime) {
+    if (isPresent && leaving != m_state.leaving.end() && time - leaving->second.since > lateAnswerTime) {
         m_state.leaving.erase(leaving);
     }
-    RemoteServer &belief = m_state.remoteServers[server->id];
-    const ServerState before = belief.state;
-    const bool first = !belief.receivedAt;
-    belief.absorb(report, time);
-    const bool news = m_state.entry.recordEjected(server->service, from, report.ejectedVersion, report.ejected, time);
-    if (news || first || belief.state != before) {
+    RemoteServer &remote = m_state.remoteServers[server->id];
+    const ServerState before = remote.state;
+    const bool first = !remote.receivedAt;
+    remote.update(report, time);
+    const bool ejectedChanged
+        = m_state.entry.recordEjected(server->service, from, report.ejectedVersion, report.ejected, time);
+    if (ejectedChanged || first || remote.state != before) {
         invalidateAssessments();
     }
 }
@@ -294,23 +300,23 @@
         ++m_counters.messagesIgnored;
         return;
     }
-    bool taken = false;
+    bool handled = false;
     try {
         if (kind == wire::MessageKind::SiblingState) {
-            taken = m_state.siblings.receiveState(
+            handled = m_state.siblings.receiveState(
                 from, incarnation, payload, *m_state.configuration, m_state.remoteServers, time);
         } else if (kind == wire::MessageKind::SiblingLeaving) {
-            const auto farewell = wire::decode<SiblingLeaving>(payload);
-            taken = farewell.vm == from.value() && m_state.siblings.acceptIncarnation(from, incarnation);
-            if (taken) {
+            const auto leavingMessage = wire::decode<SiblingLeaving>(payload);
+            handled = leavingMessage.vm == from.value() && m_state.siblings.acceptIncarnation(from, incarnation);
+            if (handled) {
                 markLeaving(from, incarnation, time);
             }
         }
     } catch (const base::Error &error) {
         PAPAYASTEP_LOG(WARNING, "health")
-            << "Ignored a message." << base::field("from", from) << base::field("why", error.what());
+            << "A health message is ignored." << base::field("from", from) << base::field("why", error.what());
     }
-    if (!taken) {
+    if (!handled) {
         ++m_counters.messagesIgnored;
         return;
     }
@@ -329,7 +335,7 @@
     if (!m_state.configuration) {
         return;
     }
-    if (!m_upToDate && time - m_lastPauseEnd >= awakeTime) {
+    if (!m_upToDate && time - m_lastPauseEnd >= regularTickTime) {
         setUpToDate();
     }
     refreshReferences(time);
@@ -339,7 +345,7 @@
     evaluatePaths(time);
     evaluateEntryEvidence(time);
     for (const base::VmId &vm : m_state.siblings.newlyUnreachable(time)) {
-        report(HealthEvent{HealthEventKind::SiblingUnreachable, {}, vm, "A sibling is not heard of any more."});
+        report(HealthEvent{HealthEventKind::SiblingUnreachable, {}, vm, "The sibling is unreachable."});
     }
     sendStates(time);
     expire(time);
@@ -391,17 +397,17 @@
     const auto siblings = serversOf(service);
     const config::Service *configured = m_state.configuration->service(service);
     const double allowed = allowedFalseEjections(configured);
-    const base::Duration growTime
+    const base::Duration minDetectionTime
         = prefersFew(configured) ? m_state.settings.minDetectionTimeFew : m_state.settings.minDetectionTimeFast;
     const int usual = medianSeverity(siblings, m_state.remoteServers);
     for (auto &[id, server] : m_state.localServers) {
         if (server.configured().service != service) {
             continue;
         }
-        const double rate = std::max(smallestRate, server.evidence().requestsPerSecond(time));
+        const double rate = std::max(minRequestRate, server.evidence().requestsPerSecond(time));
         server.evidence().setThreshold(
             ejectionThreshold(FalseEjectionTarget{rate, static_cast<int>(siblings.size()), allowed}));
-        server.updateSeverity(time, m_references[service], usual, growTime);
+        server.updateSeverity(time, m_references[service], usual, minDetectionTime);
     }
 }
 
@@ -424,7 +430,7 @@
     const auto found = m_prefersFew.find(vm);
     const bool few = found != m_prefersFew.end() && found->second;
     const double allowed = few ? m_state.settings.maxFalseEjectionsFew : m_state.settings.maxFalseEjectionsFast;
-    return ejectionThreshold(FalseEjectionTarget{entryRate, static_cast<int>(m_prefersFew.size()), allowed});
+    return ejectionThreshold(FalseEjectionTarget{assumedHopRate, static_cast<int>(m_prefersFew.size()), allowed});
 }
 
 void HealthMonitor::Impl::evaluatePaths(base::TimePoint time)
@@ -434,7 +440,7 @@
         if (happened == HealthEventKind::PathEjected) {
             report(HealthEvent{*happened, {}, vm, "Hops to the VM are not acknowledged; its path is avoided."});
         } else if (happened) {
-            report(HealthEvent{*happened, {}, vm, "The next hop shows whether the path works again."});
+            report(HealthEvent{*happened, {}, vm, "The next hop tests whether the path works again."});
         }
     }
 }
@@ -460,9 +466,9 @@
             all.begin(), middle, all.end(), [](const auto &a, const auto &b) { return a.second < b.second; });
         const auto happened = evidence.advance(time, pathThreshold(server->vm), usualLatency, middle->second);
         if (happened == HealthEventKind::EntryEjected) {
-            report(HealthEvent{*happened, id, server->vm, "This entry saw its answers fail and avoids it."});
+            report(HealthEvent{*happened, id, server->vm, "This entry node avoids the server after failed answers."});
         } else if (happened) {
-            report(HealthEvent{*happened, id, server->vm, "This entry saw good answers again."});
+            report(HealthEvent{*happened, id, server->vm, "This entry node uses the server again after good answers."});
         }
     }
 }
@@ -472,12 +478,12 @@
     const base::ServiceId &service = server.configured().service;
     FullServerStatus full{service, server.status(assessmentOf(service, time)->usualLatency, time), {}, {}};
     for (const auto &[route, latencies] : server.evidence().routes()) {
-        if (latencies.size() >= tellingAnswers) {
+        if (latencies.size() >= minReportedAnswers) {
             full.routes[route] = latencySteps(latencies.median());
         }
     }
-    if (server.evidence().histogram().full()) {
-        full.distribution = encodeDistribution(server.evidence().histogram().shape());
+    if (server.evidence().histogram().hasEnoughAnswers()) {
+        full.distribution = encodeDistribution(server.evidence().histogram().distribution());
     }
     return full;
 }
@@ -501,11 +507,11 @@
     if (urgent.empty() && !m_state.siblings.anyDue(time)) {
         return;
     }
-    std::vector<FullServerStatus> claims;
+    std::vector<FullServerStatus> statuses;
     for (const auto &[id, server] : m_state.localServers) {
-        claims.push_back(fullStatus(server, time));
+        statuses.push_back(fullStatus(server, time));
     }
-    for (wire::Outgoing &message : m_state.siblings.dueMessages(claims, urgent, time)) {
+    for (wire::Outgoing &message : m_state.siblings.dueMessages(statuses, urgent, time)) {
         m_outbox.push_back(std::move(message));
     }
 }
@@ -518,7 +524,7 @@
     m_lastExpiry = time;
     m_state.entry.expire(time);
     std::erase_if(m_state.remoteServers, [&](const auto &entry) {
-        return entry.second.receivedAt && time - *entry.second.receivedAt > beliefLifetime;
+        return entry.second.receivedAt && time - *entry.second.receivedAt > remoteServerLifetime;
     });
 }
 
@@ -552,7 +558,7 @@
     default:
         break;
     }
-    // A suspicion decides nothing and mostly passes; it would drown the lines that matter.
+    // A suspicion has no effect and mostly passes. Logging it would hide the important lines.
     if (event.kind != HealthEventKind::Suspected) {
         PAPAYASTEP_LOG(INFO, "health") << event.description << base::field("event", name(event.kind))
                                        << base::field("vm", event.vm) << base::field("server", event.server);
@@ -569,14 +575,14 @@
         return report;
     }
     const Assessment *assessment = assessmentOf(server->configured().service, time);
-    const ServerStatus claim = server->status(assessment->usualLatency, time);
-    report.server = claim.server;
+    const ServerStatus status = server->status(assessment->usualLatency, time);
+    report.server = status.server;
     report.serverId = id.value();
-    report.state = claim.state;
+    report.state = status.state;
     report.upToDate = m_upToDate;
-    report.slotsInUse = claim.slotsInUse;
-    report.queueLength = claim.queueLength;
-    report.latencySteps = claim.latencySteps;
+    report.slotsInUse = status.slotsInUse;
+    report.queueLength = status.queueLength;
+    report.latencySteps = status.latencySteps;
     report.ejectedVersion = m_ejectedVersion;
     for (const base::BackendServerId &ejected : assessment->plan.ejected) {
         report.ejected.push_back(shortHash(ejected.value()));
@@ -602,12 +608,12 @@
     for (const auto &[id, server] : m_state.localServers) {
         const config::Service *service = m_state.configuration->service(server.configured().service);
         const auto last = server.evidence().lastFinished();
-        const bool quiet = server.evidence().inFlight() == 0 && (!last || time - *last >= quietTime);
+        const bool idle = server.evidence().inFlight() == 0 && (!last || time - *last >= idleTime);
         const Admission admission = server.admission();
-        if (service == nullptr || service->healthPath.empty() || !quiet || admission == Admission::Draining) {
+        if (service == nullptr || service->healthPath.empty() || !idle || admission == Admission::Draining) {
             continue;
         }
-        if (const auto probed = m_probedAt.find(id); probed != m_probedAt.end() && time - probed->second < quietTime) {
+        if (const auto probed = m_probedAt.find(id); probed != m_probedAt.end() && time - probed->second < idleTime) {
             continue;
         }
         m_probedAt[id] = time;
@@ -643,8 +649,8 @@
 
 Admission HealthMonitor::admission(const base::BackendServerId &server) const
 {
-    const LocalServer *beside = m_impl->localServer(server);
-    return beside != nullptr ? beside->admission() : Admission::Unknown;
+    const LocalServer *local = m_impl->localServer(server);
+    return local != nullptr ? local->admission() : Admission::Unknown;
 }
 
 void HealthMonitor::attemptStarted(const base::BackendServerId &server,
@@ -652,8 +658,8 @@
                                    const base::RouteId &route)
 {
     const base::TimePoint time = m_impl->now();
-    if (LocalServer *beside = m_impl->localServer(server)) {
-        beside->evidence().started(key, shortHash(route.value()), time);
+    if (LocalServer *local = m_impl->localServer(server)) {
+        local->evidence().started(key, shortHash(route.value()), time);
     }
 }
 
@@ -663,14 +669,14 @@
                                     base::Duration latency)
 {
     const base::TimePoint time = m_impl->now();
-    LocalServer *beside = m_impl->localServer(server);
-    if (beside == nullptr) {
+    LocalServer *local = m_impl->localServer(server);
+    if (local == nullptr) {
         return;
     }
-    const auto before = beside->evidence().lastFinished();
-    const auto &usual = m_impl->m_references[beside->configured().service];
-    beside->evidence().finished(key, outcome, latency, time, usual);
-    if (beside->evidence().lastFinished() != before) {
+    const auto before = local->evidence().lastFinished();
+    const auto &usual = m_impl->m_references[local->configured().service];
+    local->evidence().finished(key, outcome, latency, time, usual);
+    if (local->evidence().lastFinished() != before) {
         m_impl->setUpToDate();
     }
 }
@@ -678,16 +684,16 @@
 void HealthMonitor::setQueueLength(const base::BackendServerId &server, int length)
 {
     m_impl->now();
-    if (LocalServer *beside = m_impl->localServer(server)) {
-        beside->setQueueLength(length);
+    if (LocalServer *local = m_impl->localServer(server)) {
+        local->setQueueLength(length);
     }
 }
 
 void HealthMonitor::probeFinished(const base::BackendServerId &server, bool good)
 {
     m_impl->now();
-    if (LocalServer *beside = m_impl->localServer(server)) {
-        beside->evidence().setProbeResult(good);
+    if (LocalServer *local = m_impl->localServer(server)) {
+        local->evidence().setProbeResult(good);
     }
 }
 
--- a/src/health/latencydistribution.cpp
+++ b/src/health/latencydistribution.cpp
@@ -8,33 +8,33 @@
 namespace {
 
 constexpr double binsPerOctave = 2;
-constexpr std::size_t usualBin = 8; ///< Its lower edge is the usual latency itself.
+constexpr std::size_t usualBin = 8; ///< The bin whose lower edge is the usual latency.
 
-// Share of answers that may be anything, whatever the measured shape says. It bounds how much one request can say:
-// without it a tail that was never seen before would count as proof.
+// Share of answers of arbitrary latency, whatever the measured distribution is. It bounds the evidence of one request:
+// without it, a single latency beyond all earlier ones would count as proof.
 constexpr double contamination = 0.01;
-// The evidence of one attempt is bounded once more for each way of being slow. A stall makes several answers late at
-// once, and late by far; they may speak for a hang, but "twice as slow" must be seen in many answers, a little in each.
+// Second bound on the evidence of one attempt, for each slowdown. A stall makes several answers very late at once. They
+// may be evidence of a hang, but a server that is twice as slow must be detected by a little evidence in many answers.
 constexpr std::array<double, LatencyModel::slowdowns> largestEvidence{1, 7};
 constexpr double smallestEvidence = -5;
 
-constexpr double fadingTotal = 4000;
-constexpr double fullTotal = 200;
-constexpr double tailScale = 20; ///< Steps of an encoded tail per unit of its logarithm.
+constexpr double decayTotal = 4000;
+constexpr double enoughTotal = 200;
+constexpr double tailScale = 20; ///< Encoded steps for each unit of the natural logarithm of a tail.
 
-LatencyDistribution normalised(LatencyDistribution shape)
+LatencyDistribution normalised(LatencyDistribution distribution)
 {
     double total = 0;
-    for (const double part : shape) {
+    for (const double part : distribution) {
         total += part;
     }
-    for (double &part : shape) {
+    for (double &part : distribution) {
         part /= total;
     }
-    return shape;
+    return distribution;
 }
 
-LatencyDistribution contaminated(const LatencyDistribution &shape)
+LatencyDistribution contaminated(const LatencyDistribution &distribution)
 {
     LatencyDistribution outliers{};
     for (std::size_t bin = 0; bin < distributionBins; ++bin) {
@@ -44,27 +44,27 @@
     outliers = normalised(outliers);
     LatencyDistribution result{};
     for (std::size_t bin = 0; bin < distributionBins; ++bin) {
-        result[bin] = (1 - contamination) * shape[bin] + contamination * outliers[bin];
+        result[bin] = (1 - contamination) * distribution[bin] + contamination * outliers[bin];
     }
     return result;
 }
 
-LatencyDistribution shifted(const LatencyDistribution &shape, std::size_t bins)
+LatencyDistribution shifted(const LatencyDistribution &distribution, std::size_t bins)
 {
     LatencyDistribution result{};
     for (std::size_t bin = 0; bin < distributionBins; ++bin) {
-        result[std::min(bin + bins, distributionBins - 1)] += shape[bin];
+        result[std::min(bin + bins, distributionBins - 1)] += distribution[bin];
     }
     return result;
 }
 
-/// Twice as slow.
+/// The distribution of a server that is twice as slow.
 LatencyDistribution slower(const LatencyDistribution &healthy)
 {
     return shifted(healthy, 2);
 }
 
-/// Four to 32 times as slow, or hanging for good.
+/// The distribution of a server that is four to 32 times as slow or hangs.
 LatencyDistribution muchSlower(const LatencyDistribution &healthy)
 {
     constexpr double hanging = 0.2;
@@ -80,23 +80,23 @@
     return result;
 }
 
-LatencyDistribution tails(const LatencyDistribution &shape)
+LatencyDistribution tails(const LatencyDistribution &distribution)
 {
     LatencyDistribution result{};
     double tail = 0;
     for (std::size_t bin = distributionBins; bin-- > 0;) {
-        tail += shape[bin];
+        tail += distribution[bin];
         result[bin] = std::min(tail, 1.0);
     }
     return result;
 }
 
-double evidence(double sick, double healthy, double largest)
+double evidence(double unhealthy, double healthy, double largest)
 {
-    if (sick <= 0) {
+    if (unhealthy <= 0) {
         return smallestEvidence;
     }
-    return std::clamp(std::log(sick / healthy), smallestEvidence, largest);
+    return std::clamp(std::log(unhealthy / healthy), smallestEvidence, largest);
 }
 
 }
@@ -113,23 +113,23 @@
 LatencyDistribution defaultDistribution()
 {
     constexpr double sigma = 1.0;
-    LatencyDistribution shape{};
+    LatencyDistribution distribution{};
     double below = 0;
     for (std::size_t bin = 0; bin < distributionBins; ++bin) {
         const double upperEdge = (static_cast<double>(bin + 1) - static_cast<double>(usualBin)) / binsPerOctave;
         const double deviations = upperEdge * std::log(2.0) / sigma;
         const double cumulative = bin + 1 == distributionBins ? 1 : 0.5 * std::erfc(-deviations / std::sqrt(2.0));
-        shape[bin] = cumulative - below;
+        distribution[bin] = cumulative - below;
         below = cumulative;
     }
-    return shape;
+    return distribution;
 }
 
 void LatencyHistogram::add(double ratio)
 {
     m_counts[distributionBin(ratio)] += 1;
     m_total += 1;
-    if (m_total < fadingTotal) {
+    if (m_total < decayTotal) {
         return;
     }
     for (double &count : m_counts) {
@@ -138,27 +138,27 @@
     m_total /= 2;
 }
 
-bool LatencyHistogram::full() const
+bool LatencyHistogram::hasEnoughAnswers() const
 {
-    return m_total >= fullTotal;
+    return m_total >= enoughTotal;
 }
 
-LatencyDistribution LatencyHistogram::shape() const
+LatencyDistribution LatencyHistogram::distribution() const
 {
     return normalised(m_counts);
 }
 
-std::string encodeDistribution(const LatencyDistribution &shape)
+std::string encodeDistribution(const LatencyDistribution &distribution)
 {
     std::string bytes;
-    for (const double tail : tails(shape)) {
+    for (const double tail : tails(distribution)) {
         const double steps = tail > 0 ? std::round(-std::log(tail) * tailScale) : 255;
         bytes.push_back(static_cast<char>(static_cast<unsigned char>(std::clamp(steps, 0.0, 255.0))));
     }
     return bytes;
 }
 
-bool decodeDistribution(const std::string &bytes, LatencyDistribution &shape)
+bool decodeDistribution(const std::string &bytes, LatencyDistribution &distribution)
 {
     if (bytes.size() != distributionBins) {
         return false;
@@ -167,23 +167,23 @@
     for (std::size_t bin = distributionBins; bin-- > 0;) {
         const double steps = static_cast<unsigned char>(bytes[bin]);
         const double tail = bin == 0 ? 1 : steps >= 255 ? 0 : std::exp(-steps / tailScale);
-        shape[bin] = std::max(tail - above, 0.0);
+        distribution[bin] = std::max(tail - above, 0.0);
         above = std::max(tail, above);
     }
-    shape = normalised(shape);
+    distribution = normalised(distribution);
     return true;
 }
 
-LatencyDistribution medianDistribution(const std::vector<LatencyDistribution> &shapes)
+LatencyDistribution medianDistribution(const std::vector<LatencyDistribution> &distributions)
 {
     std::vector<LatencyDistribution> allTails;
-    allTails.reserve(shapes.size());
-    for (const LatencyDistribution &shape : shapes) {
-        allTails.push_back(tails(shape));
+    allTails.reserve(distributions.size());
+    for (const LatencyDistribution &distribution : distributions) {
+        allTails.push_back(tails(distribution));
     }
     LatencyDistribution result{};
     double above = 0;
-    std::vector<double> column(shapes.size());
+    std::vector<double> column(distributions.size());
     for (std::size_t bin = distributionBins; bin-- > 0;) {
         std::transform(allTails.begin(), allTails.end(), column.begin(), [&](const LatencyDistribution &tail) {
             return tail[bin];
@@ -201,13 +201,14 @@
 {
     const LatencyDistribution healthy = contaminated(healthyShape);
     const LatencyDistribution healthyTails = tails(healthy);
-    const std::array<LatencyDistribution, slowdowns> sick{slower(healthy), muchSlower(healthy)};
+    const std::array<LatencyDistribution, slowdowns> unhealthy{slower(healthy), muchSlower(healthy)};
     for (std::size_t slowdown = 0; slowdown < slowdowns; ++slowdown) {
-        const LatencyDistribution sickTails = tails(sick[slowdown]);
+        const LatencyDistribution unhealthyTails = tails(unhealthy[slowdown]);
         for (std::size_t bin = 0; bin < distributionBins; ++bin) {
-            m_ratios[slowdown].answered[bin] = evidence(sick[slowdown][bin], healthy[bin], largestEvidence[slowdown]);
+            m_ratios[slowdown].answered[bin]
+                = evidence(unhealthy[slowdown][bin], healthy[bin], largestEvidence[slowdown]);
             m_ratios[slowdown].waiting[bin]
-                = std::max(0.0, evidence(sickTails[bin], healthyTails[bin], largestEvidence[slowdown]));
+                = std::max(0.0, evidence(unhealthyTails[bin], healthyTails[bin], largestEvidence[slowdown]));
         }
     }
 }
--- a/src/health/latencydistribution.h
+++ b/src/health/latencydistribution.h
@@ -5,59 +5,61 @@
 #include <string>
 #include <vector>
 
-/// How latencies are spread around the usual one of their route, and how likely a latency is if a server is sick.
+/// Distributions of latencies relative to the usual latency of their route, and likelihood ratios of a latency.
 namespace papayastep::health {
 
-/// Bins of half an octave of the ratio latency / usual latency. The first and the last are open-ended.
+/// Number of bins, each half an octave wide, of the ratio latency / usual latency. The first and the last are
+/// open-ended.
 constexpr std::size_t distributionBins = 24;
 
-/// The bin of `ratio`.
+/// Returns the bin of `ratio`.
 std::size_t distributionBin(double ratio);
 
 /// The probability of each bin.
 using LatencyDistribution = std::array<double, distributionBins>;
 
-/// A wide log-normal shape, for the time before siblings have told theirs. Wide, so that it errs towards patience.
+/// A wide log-normal distribution for the time before siblings have reported theirs. It is wide so that errors delay an
+/// ejection rather than cause a false one.
 LatencyDistribution defaultDistribution();
 
-/// Counts of a server's own answers, from which it tells its siblings its shape. Old counts fade.
+/// Histogram of a server's own answers, from which its distribution is reported to the siblings. Old counts decay.
 class LatencyHistogram
 {
 public:
     void add(double ratio);
-    /// Enough answers to say something about the tail.
-    bool full() const;
-    LatencyDistribution shape() const;
+    /// Whether there are enough answers for an estimate of the tail.
+    bool hasEnoughAnswers() const;
+    LatencyDistribution distribution() const;
 
 private:
     LatencyDistribution m_counts{};
     double m_total = 0;
 };
 
-/// One byte for each bin.
-std::string encodeDistribution(const LatencyDistribution &shape);
-/// The inverse; false where `bytes` has another length.
-bool decodeDistribution(const std::string &bytes, LatencyDistribution &shape);
+/// Encodes a distribution with one byte for each bin.
+std::string encodeDistribution(const LatencyDistribution &distribution);
+/// The inverse of encodeDistribution(). Returns false if `bytes` has another length.
+bool decodeDistribution(const std::string &bytes, LatencyDistribution &distribution);
 
-/// The shape that most of `shapes` agree on: the median of their tails, bin by bin, so that one sick or lying
-/// sibling can't stretch what counts as usual.
-LatencyDistribution medianDistribution(const std::vector<LatencyDistribution> &shapes);
+/// The median of the tails of `distributions`, bin by bin, so that one unhealthy sibling, or one with wrong reports,
+/// cannot widen the usual distribution.
+LatencyDistribution medianDistribution(const std::vector<LatencyDistribution> &distributions);
 
-/// Log likelihood ratios "sick" against "healthy" of a latency, for the two ways of being slow.
-/// Both hypotheses come from the siblings' measured shape, so no distribution is assumed.
+/// Log likelihood ratios "unhealthy" against "healthy" of a latency, for two kinds of slowdown. Both hypotheses derive
+/// from the measured distribution of the siblings, so no parametric distribution is assumed.
 class LatencyModel
 {
 public:
-    /// The ways of being slow that are tested for.
+    /// The slowdowns that are tested for.
     enum Slowdown { Slower, MuchSlower };
     static constexpr std::size_t slowdowns = 2;
 
     explicit LatencyModel(const LatencyDistribution &healthy);
 
-    /// Of an answer whose latency was `ratio` times the usual one.
+    /// The ratio for an answer whose latency was `ratio` times the usual one.
     double answered(Slowdown slowdown, double ratio) const;
-    /// Of an attempt that is `ratio` times the usual latency old and not answered (a censored observation).
-    /// Never negative: waiting can only speak for sickness.
+    /// The ratio for an attempt that has waited `ratio` times the usual latency without an answer (a censored
+    /// observation). It is never negative: waiting can only be evidence against the server.
     double waiting(Slowdown slowdown, double ratio) const;
 
 private:
--- a/src/health/localserver.cpp
+++ b/src/health/localserver.cpp
@@ -11,8 +11,8 @@
 
 constexpr int alarmPercent = 50;
 constexpr int calmPercent = 25;
-constexpr int sickPercent = 100;
-constexpr int deadPercent = 250; ///< A server that takes no work at all is worse than a slow one.
+constexpr int unhealthyPercent = 100;
+constexpr int notAcceptingPercent = 250; ///< A server that accepts no work at all ranks above a slow one.
 
 std::string seconds(base::Duration duration)
 {
@@ -83,22 +83,22 @@
 
 void LocalServer::updateSeverity(base::TimePoint now,
                                  const ServiceReference &usual,
-                                 int usualSeverity,
-                                 base::Duration growTime)
+                                 int siblingSeverity,
+                                 base::Duration minDetectionTime)
 {
-    const double rise = std::chrono::duration<double>(now - m_severityUpdated) / growTime;
+    const double rise = std::chrono::duration<double>(now - m_severityUpdated) / minDetectionTime;
     m_severityUpdated = now;
     if (isOutOfUse()) {
         return;
     }
     m_limitedSeverity = std::min(m_evidence.severity(now, usual), m_limitedSeverity + rise);
-    m_severity = static_cast<int>(sickPercent * m_limitedSeverity);
-    int relative = m_severity - usualSeverity;
+    m_severity = static_cast<int>(unhealthyPercent * m_limitedSeverity);
+    int relative = m_severity - siblingSeverity;
     if (m_evidence.refusesPersistently(now, m_settings, usual)) {
-        m_severity = deadPercent;
-        relative = deadPercent;
+        m_severity = notAcceptingPercent;
+        relative = notAcceptingPercent;
     }
-    if (relative < sickPercent) {
+    if (relative < unhealthyPercent) {
         m_unhealthySince.reset();
     } else if (!m_unhealthySince) {
         m_unhealthySince = now;
@@ -111,8 +111,8 @@
 {
     const ServerState state = m_lifecycle.state();
     const bool gone = state == ServerState::Draining || state == ServerState::Gone;
-    const bool sick = isOutOfUse() || m_unhealthySince.has_value();
-    return SiblingCondition{m_configured.id, m_configured.slots, gone, sick, isOutOfUse(), m_severity};
+    const bool unhealthy = isOutOfUse() || m_unhealthySince.has_value();
+    return SiblingCondition{m_configured.id, m_configured.slots, gone, unhealthy, isOutOfUse(), m_severity};
 }
 
 std::vector<HealthEvent> LocalServer::applyPlan(const EjectionPlan &plan,
@@ -137,7 +137,8 @@
         return std::nullopt;
     }
     m_evidence.beginTrial();
-    return event(HealthEventKind::Trial, "The hold is over; a few requests show whether the server has recovered.");
+    return event(HealthEventKind::Trial,
+                 "The ejection time is over; a few trial requests test whether the server has recovered.");
 }
 
 std::optional<HealthEvent> LocalServer::evaluateTrial(base::TimePoint now, const ServiceReference &usual)
@@ -155,11 +156,12 @@
         m_unhealthySince.reset();
         m_severity = 0;
         m_limitedSeverity = 0;
-        return event(HealthEventKind::Returned, "The trial requests went well; work returns step by step.");
+        return event(HealthEventKind::Returned, "The trial requests succeeded; the share of work rises step by step.");
     }
     m_lifecycle.handle(ServerEvent::TrialFailed, now);
     return event(HealthEventKind::TrialFailed,
-                 "The trial requests went badly; the server is held for " + seconds(m_lifecycle.ejectionTime()) + '.');
+                 "The trial requests failed; the server stays ejected for " + seconds(m_lifecycle.ejectionTime())
+                     + '.');
 }
 
 std::optional<HealthEvent> LocalServer::updateSuspicion(base::TimePoint now, const ServiceReference &usual)
@@ -168,7 +170,7 @@
         return std::nullopt;
     }
     if (m_severity >= alarmPercent && m_lifecycle.handle(ServerEvent::Alarm, now)) {
-        return event(HealthEventKind::Suspected, "Evidence gathers: " + m_evidence.explanation(now, usual) + '.');
+        return event(HealthEventKind::Suspected, "The server is suspect: " + m_evidence.explanation(now, usual) + '.');
     }
     if (m_severity < calmPercent && !m_unhealthySince) {
         m_lifecycle.handle(ServerEvent::Calm, now);
@@ -186,26 +188,27 @@
         if (plan.ejected.contains(m_configured.id) || !m_lifecycle.handle(ServerEvent::Readmit, now)) {
             return std::nullopt;
         }
-        return event(HealthEventKind::Readmitted, "The floor of the service needs the server back in use.");
+        return event(HealthEventKind::Readmitted, "The floor of the service requires the server in use again.");
     }
     if (!m_unhealthySince) {
         return std::nullopt;
     }
     if (m_heldByFloor) {
-        const std::string why = "The server stays in use to keep the floor, although ";
+        const std::string prefix = "The floor keeps the server in use, although ";
         return wasHeld
             ? std::nullopt
-            : std::optional(event(HealthEventKind::FloorHeld, why + m_evidence.explanation(now, usual) + '.'));
+            : std::optional(event(HealthEventKind::FloorHeld, prefix + m_evidence.explanation(now, usual) + '.'));
     }
-    // Two siblings that fall sick together would both see room for one ejection. The settle time lets their claims
-    // cross, so that both work out the same plan before either leaves; else the floor could be broken for a moment.
+    // Two siblings that become unhealthy at the same time would both find that the floor allows one ejection. The
+    // settle time lets their messages arrive, so that both make the same plan before either is ejected. Otherwise the
+    // capacity could be below the floor for a moment.
     const bool settled = now - *m_unhealthySince >= m_settings.settleTime;
     if (!settled || !plan.ejected.contains(m_configured.id) || !m_lifecycle.handle(ServerEvent::Eject, now)) {
         return std::nullopt;
     }
     return event(HealthEventKind::Ejected,
-                 "Ejected for " + seconds(m_lifecycle.ejectionTime()) + ", for " + m_evidence.explanation(now, usual)
-                     + '.');
+                 "The server is ejected for " + seconds(m_lifecycle.ejectionTime()) + " because "
+                     + m_evidence.explanation(now, usual) + '.');
 }
 
 void LocalServer::invalidate()
@@ -246,19 +249,19 @@
 {
     const auto bounded
         = [](std::size_t count) { return static_cast<std::uint16_t>(std::min<std::size_t>(count, 65535)); };
-    ServerStatus claim;
-    claim.server = shortHash(m_configured.id.value());
-    claim.state = static_cast<std::uint8_t>(m_lifecycle.state());
-    claim.severity = bounded(static_cast<std::size_t>(m_severity));
-    claim.unhealthy = condition().unhealthy;
-    claim.slotsInUse = bounded(m_evidence.inFlight());
-    claim.queueLength = bounded(static_cast<std::size_t>(std::max(m_queueLength, 0)));
+    ServerStatus status;
+    status.server = shortHash(m_configured.id.value());
+    status.state = static_cast<std::uint8_t>(m_lifecycle.state());
+    status.severity = bounded(static_cast<std::size_t>(m_severity));
+    status.unhealthy = condition().unhealthy;
+    status.slotsInUse = bounded(m_evidence.inFlight());
+    status.queueLength = bounded(static_cast<std::size_t>(std::max(m_queueLength, 0)));
     if (m_evidence.recentLatency() > base::Duration::zero()) {
-        claim.latencySteps = latencySteps(latency(usualLatency, now));
+        status.latencySteps = latencySteps(latency(usualLatency, now));
     }
-    claim.failurePermille = bounded(static_cast<std::size_t>(1000 * m_evidence.failureShare()));
-    claim.accepting = m_evidence.accepting();
-    return claim;
+    status.failurePermille = bounded(static_cast<std::size_t>(1000 * m_evidence.failureShare()));
+    status.accepting = m_evidence.accepting();
+    return status;
 }
 
 HealthEvent LocalServer::event(HealthEventKind kind, const std::string &sentence) const
--- a/src/health/localserver.h
+++ b/src/health/localserver.h
@@ -13,7 +13,7 @@
 
 namespace papayastep::health {
 
-/// A backend server beside this node: evidence and state together.
+/// A backend server beside this node, with its evidence and state.
 class LocalServer
 {
 public:
@@ -27,22 +27,26 @@
     void setQueueLength(int length);
     int queueLength() const;
 
-    /// Takes an event from outside the evidence: drain, undrain, leave. Returns whether the state changed.
+    /// Handles an event that does not come from the evidence: drain, undrain, leave. Returns whether the state changed.
     bool handle(ServerEvent event, base::TimePoint now);
 
-    /// Compares the evidence with the siblings' (`usualSeverity`, percent), so that a shift of all accuses nobody.
-    /// `growTime` is the shortest time from no evidence to an ejection.
-    void updateSeverity(base::TimePoint now, const ServiceReference &usual, int usualSeverity, base::Duration growTime);
+    /// Updates the severity relative to the siblings' (`siblingSeverity`, in percent), so that a change that all
+    /// servers share ejects none. `minDetectionTime` is the shortest time from no evidence to an ejection.
+    void updateSeverity(base::TimePoint now,
+                        const ServiceReference &usual,
+                        int siblingSeverity,
+                        base::Duration minDetectionTime);
     SiblingCondition condition() const;
-    /// Does what the evidence asks for and `plan` allows. Returns what happened.
+    /// Makes the state changes that the evidence requires and `plan` allows. Returns the events.
     std::vector<HealthEvent> applyPlan(const EjectionPlan &plan, base::TimePoint now, const ServiceReference &usual);
-    /// After a pause: whatever was believed has to be shown again.
+    /// Discards the evidence after a pause of the process.
     void invalidate();
 
     Admission admission() const;
-    /// Without routes and shape, which are chosen per receiver.
+    /// The status to report, without routes and distribution, which are selected for each receiver.
     ServerStatus status(base::Duration usualLatency, base::TimePoint now) const;
-    /// Of recent answers; where there were none lately, what siblings usually take. 0: not known.
+    /// The latency of recent answers, decayed towards the siblings' `usual` one if there are none in flight. 0 if not
+    /// known.
     base::Duration latency(base::Duration usual, base::TimePoint now) const;
 
 private:
@@ -60,9 +64,10 @@
     ServerEvidence m_evidence;
     ServerLifecycle m_lifecycle;
     int m_queueLength = 0;
-    double m_limitedSeverity = 0; ///< Severity as a share of the threshold, its rise limited by the grow time.
+    /// Severity as a share of the threshold, with its rise limited by the minimum detection time.
+    double m_limitedSeverity = 0;
     base::TimePoint m_severityUpdated;
-    int m_severity = 0; ///< Percent; frozen while out of use.
+    int m_severity = 0; ///< In percent; frozen while the server is ejected or in trial.
     std::optional<base::TimePoint> m_unhealthySince;
     bool m_heldByFloor = false;
 };
--- a/src/health/measure.cpp
+++ b/src/health/measure.cpp
@@ -12,8 +12,8 @@
 #include <random>
 #include <set>
 
-/// Measures detection on the manual clock: the decision code between latency draws. Prints one JSON line a figure.
-/// Medians and worst cases are over all seeds of a run; `seed` is then the first of them.
+/// Measures detection on the manual clock, with the production code and simulated latencies. Prints one JSON line for
+/// each figure. Medians and worst cases are over all seeds of a run; `seed` is then the first of them.
 namespace {
 
 using namespace papayastep;
@@ -22,10 +22,10 @@
 using namespace std::chrono_literals;
 
 const base::Duration faultBegin = 60s;
-const base::Duration faultLimit = 60s; ///< A fault that is not found in this time counts as so long.
+const base::Duration faultLimit = 60s; ///< Detection time that counts for a fault that is not detected.
 const base::Duration faultFree = 30min;
 const base::Duration pauseLength = 3s;
-constexpr double detectedBy = 0.5; ///< Share of the other entries that give the server no work.
+constexpr double detectedBy = 0.5; ///< Share of the other entry nodes that must avoid the server.
 
 struct NamedFault
 {
@@ -70,9 +70,9 @@
 class Measure
 {
 public:
-    Measure(const Options &options, const ServiceProfile &shape, const std::string &variant)
+    Measure(const Options &options, const ServiceProfile &profile, const std::string &variant)
         : m_options(options)
-        , m_shape(shape)
+        , m_profile(profile)
         , m_variant(variant)
     {
     }
@@ -118,29 +118,31 @@
 private:
     Fleet makeFleet(std::uint64_t seed) const
     {
-        return Fleet(m_shape, seed, [&](const base::ManualClock &clock, Link link) {
-            return makeDetector(m_variant, m_shape, clock, seed, std::move(link));
+        return Fleet(m_profile, seed, [&](const base::ManualClock &clock, Link link) {
+            return makeDetector(m_variant, m_profile, clock, seed, std::move(link));
         });
     }
 
     void runOnce(const NamedFault &named, std::uint64_t seed, Figures &figures) const
     {
-        std::vector<int> sick;
-        for (int server = 0; server < m_shape.servers; server += named.wholeZone ? m_shape.zones : m_shape.servers) {
-            sick.push_back(server);
+        std::vector<int> faulty;
+        for (int server = 0; server < m_profile.servers;
+             server += named.wholeZone ? m_profile.zones : m_profile.servers) {
+            faulty.push_back(server);
         }
         const base::Duration end = faultBegin + (named.fault == Fault::Paused ? pauseLength : 2 * faultLimit);
-        const auto isSick = [&](int server) { return std::find(sick.begin(), sick.end(), server) != sick.end(); };
+        const auto isFaulty
+            = [&](int server) { return std::find(faulty.begin(), faulty.end(), server) != faulty.end(); };
         Fleet fleet = makeFleet(seed);
-        fleet.addFault(FaultPlan{named.fault, sick, faultBegin, end});
+        fleet.addFault(FaultPlan{named.fault, faulty, faultBegin, end});
         base::Duration found = faultLimit;
         std::uint64_t answeredBefore = 0;
         std::uint64_t failedBefore = 0;
         fleet.onTick = [&](base::Duration elapsed) {
             for (const Ejection &ejection : fleet.detector().takeEjections()) {
-                // A VM whose own links are broken rightly avoids the paths to all others.
+                // A VM whose own links are broken avoids the paths to all others correctly.
                 const bool deserved
-                    = isSick(ejection.server) || (ejection.by != ejection.server && isSick(ejection.by));
+                    = isFaulty(ejection.server) || (ejection.by != ejection.server && isFaulty(ejection.by));
                 figures.falseEjections += deserved && elapsed >= faultBegin ? 0 : 1;
             }
             if (elapsed < faultBegin) {
@@ -150,7 +152,7 @@
             }
             figures.capacity = std::min(figures.capacity, fleet.smallestCapacity());
             const bool all = std::all_of(
-                sick.begin(), sick.end(), [&](int server) { return fleet.avoidedShare(server) >= detectedBy; });
+                faulty.begin(), faulty.end(), [&](int server) { return fleet.avoidedShare(server) >= detectedBy; });
             if (found == faultLimit && all) {
                 found = elapsed - faultBegin;
             }
@@ -167,7 +169,7 @@
         line["case"] = "detection-manual";
         line["variant"] = m_variant;
         line["fleet"] = m_options.fleet;
-        line["service"] = m_shape.name;
+        line["service"] = m_profile.name;
         line["fault"] = fault;
         line["metric"] = metric;
         line["value"] = value;
@@ -178,23 +180,23 @@
     }
 
     const Options &m_options;
-    ServiceProfile m_shape;
+    ServiceProfile m_profile;
     std::string m_variant;
 };
 
-/// What the messages between siblings cost a node in a minute of fault-free traffic.
+/// Measures the bandwidth of the messages between siblings in a minute of fault-free traffic.
 void measureControl(const Options &options)
 {
     const base::Duration length = 60s;
     const HealthSettings settings;
-    for (const ServiceProfile &shape : fleetServices(options.fleet)) {
-        Fleet fleet(shape, options.seed, [&](const base::ManualClock &clock, Link link) {
-            return std::make_unique<MonitorDetector>(shape, clock, options.seed, std::move(link));
+    for (const ServiceProfile &profile : fleetServices(options.fleet)) {
+        Fleet fleet(profile, options.seed, [&](const base::ManualClock &clock, Link link) {
+            return std::make_unique<MonitorDetector>(profile, clock, options.seed, std::move(link));
         });
         fleet.runUntil(length);
         auto &detector = dynamic_cast<MonitorDetector &>(fleet.detector());
         double bytes = 0;
-        for (int vm = 0; vm < shape.servers; ++vm) {
+        for (int vm = 0; vm < profile.servers; ++vm) {
             const HealthCounters &counters = detector.monitor(vm).counters();
             bytes += static_cast<double>(counters.bytesSent);
             bytes += static_cast<double>(counters.messagesSent) * settings.messageOverheadBytes;
@@ -203,17 +205,17 @@
         line["case"] = "control";
         line["variant"] = "papayastep";
         line["fleet"] = options.fleet;
-        line["service"] = shape.name;
+        line["service"] = profile.name;
         line["metric"] = "control_bytes_per_second_per_node";
-        line["value"] = bytes / shape.servers / std::chrono::duration<double>(length).count();
+        line["value"] = bytes / profile.servers / std::chrono::duration<double>(length).count();
         line["unit"] = "B/s, with 90 B of overhead a message";
         line["seed"] = options.seed;
         std::cout << line.dump() << std::endl;
     }
 }
 
-/// The formula of ejectionThreshold() promises at most one false alarm in exp(threshold) observations. Draws healthy
-/// latencies and counts the alarms, at thresholds low enough to see some.
+/// Checks the bound of ejectionThreshold(), at most one false alarm in exp(threshold) observations. Draws healthy
+/// latencies and counts the alarms, at thresholds that are low enough for some to occur.
 void checkThreshold(const Options &options)
 {
     constexpr int learning = 20'000;
@@ -225,7 +227,7 @@
     for (int index = 0; index < learning; ++index) {
         counter.add(ratio(random));
     }
-    const LatencyModel model(counter.shape());
+    const LatencyModel model(counter.distribution());
     for (const LatencyModel::Slowdown slowdown : {LatencyModel::Slower, LatencyModel::MuchSlower}) {
         for (const double threshold : {4.0, 6.0, 8.0, 10.0}) {
             Cusum test;
@@ -255,8 +257,8 @@
 
 void runCase(const Options &options)
 {
-    for (const ServiceProfile &shape : fleetServices(options.fleet)) {
-        if (!options.service.empty() && options.service != shape.name) {
+    for (const ServiceProfile &profile : fleetServices(options.fleet)) {
+        if (!options.service.empty() && options.service != profile.name) {
             continue;
         }
         for (const std::string variant :
@@ -264,7 +266,7 @@
             if (!options.variant.empty() && options.variant != variant) {
                 continue;
             }
-            Measure measure(options, shape, variant);
+            Measure measure(options, profile, variant);
             for (const NamedFault &fault : faults) {
                 if (options.fault.empty() || options.fault == fault.name) {
                     measure.runFault(fault);
--- a/src/health/nestedcalltracker.cpp
+++ b/src/health/nestedcalltracker.cpp
@@ -6,9 +6,11 @@
 
 namespace {
 
-/// Deadlines travel in whole milliseconds, twice: to the backend server and back with its call.
+/// Tolerance for deadlines, which are rounded to milliseconds twice: on the way to the backend server and with its
+/// call.
 constexpr base::Duration deadlineTolerance = std::chrono::milliseconds(5);
-/// A run that ends later after the failure of a call went on with its work, and fails for another reason.
+/// A run that ends later than this after the failure of a nested call went on with its work, so it failed for another
+/// reason.
 constexpr base::Duration failureFollowsWithin = std::chrono::milliseconds(50);
 
 }
--- a/src/health/pathevidence.cpp
+++ b/src/health/pathevidence.cpp
@@ -13,7 +13,8 @@
 const double reachedEvidence = std::log((1 - lostShareBroken) / (1 - lostShareHealthy));
 constexpr double scoreCap = 40;
 constexpr int maxBreaks = 10;
-constexpr int forgiveAfterHolds = 10; ///< Good time, in holds, after which earlier breaks are forgotten.
+/// Good time, in ejection times, after which earlier ejections no longer count.
+constexpr int resetAfterEjectionTimes = 10;
 
 }
 
@@ -80,7 +81,7 @@
 {
     const bool trialLost = m_state == PathState::Trial && score(now) >= lostEvidence;
     if (trialLost || (m_state == PathState::Good && score(now) >= threshold)) {
-        if (m_state == PathState::Good && now - m_stateSince > forgiveAfterHolds * ejectionTime()) {
+        if (m_state == PathState::Good && now - m_stateSince > resetAfterEjectionTimes * ejectionTime()) {
             m_ejections = 0;
         }
         m_ejections = std::min(m_ejections + 1, maxBreaks);
--- a/src/health/pathevidence.h
+++ b/src/health/pathevidence.h
@@ -12,8 +12,8 @@
 
 namespace papayastep::health {
 
-/// What one entry knows about the way to one VM. Only acknowledgements count: an acknowledged hop that is never
-/// answered says nothing against the path, and a missing acknowledgement nothing against the backend server.
+/// Evidence of one entry node about the path to one VM. Only acknowledgements count: an acknowledged hop without an
+/// answer is no evidence against the path, and a missing acknowledgement is none against the backend server.
 class PathEvidence
 {
 public:
@@ -21,17 +21,17 @@
 
     void sent(const AttemptKey &key, base::TimePoint now);
     void acknowledged(const AttemptKey &key, base::TimePoint now);
-    /// The hop ended; `reached` if the serving node was heard of (an answer is an acknowledgement, too),
-    /// empty if the end says nothing (cancelled).
+    /// Records the end of a hop. `reached` tells whether the serving node responded (an answer counts as an
+    /// acknowledgement); it is empty if the end is no evidence (cancelled).
     void ended(const AttemptKey &key, std::optional<bool> reached, base::TimePoint now);
     void invalidateInFlight();
 
-    /// Moves on with time. Returns the event to report, if the state changed.
+    /// Updates the state at time `now`. Returns the event to report if the state changed.
     std::optional<HealthEventKind> advance(base::TimePoint now, double threshold);
 
     PathState state() const;
     base::Duration ejectionTime() const;
-    /// The last time the VM was heard of.
+    /// The time of the last response of the VM.
     std::optional<base::TimePoint> lastContact() const;
     bool idleSince(base::TimePoint limit) const;
 
@@ -40,7 +40,8 @@
     void recordReached(base::TimePoint now);
 
     HealthSettings m_settings;
-    std::unordered_map<AttemptKey, base::TimePoint> m_unacknowledged; ///< Sent and not acknowledged.
+    std::unordered_map<AttemptKey, base::TimePoint>
+        m_unacknowledged; ///< Send times of the hops that were not acknowledged yet.
     Cusum m_test;
     PathState m_state = PathState::Good;
     base::TimePoint m_stateSince;
--- a/src/health/remoteserver.cpp
+++ b/src/health/remoteserver.cpp
@@ -6,43 +6,43 @@
 
 namespace {
 
-constexpr std::size_t maxRoutes = 256; ///< A sibling that sends ever new routes must not fill the memory.
+constexpr std::size_t maxRoutes = 256; ///< Bounds the memory if a sibling keeps sending new routes.
 
 }
 
-void RemoteServer::setState(std::uint8_t told, base::TimePoint now)
+void RemoteServer::setState(std::uint8_t reported, base::TimePoint now)
 {
-    // A newer node may know more states than this one; what can't be understood is not believed.
-    if (told >= serverStateCount || static_cast<ServerState>(told) == state) {
+    // A newer node may have more states than this one. Unknown states are ignored.
+    if (reported >= serverStateCount || static_cast<ServerState>(reported) == state) {
         return;
     }
-    state = static_cast<ServerState>(told);
+    state = static_cast<ServerState>(reported);
     stateSince = now;
 }
 
-void RemoteServer::update(const ServerStatus &claim, base::TimePoint now)
+void RemoteServer::update(const ServerStatus &status, base::TimePoint now)
 {
-    setState(claim.state, now);
-    unhealthy = claim.unhealthy;
-    severity = claim.severity;
-    slotsInUse = claim.slotsInUse;
-    queueLength = claim.queueLength;
-    latencySteps = claim.latencySteps;
-    failureShare = claim.failurePermille / 1000.0;
-    accepting = claim.accepting;
+    setState(status.state, now);
+    unhealthy = status.unhealthy;
+    severity = status.severity;
+    slotsInUse = status.slotsInUse;
+    queueLength = status.queueLength;
+    latencySteps = status.latencySteps;
+    failureShare = status.failurePermille / 1000.0;
+    accepting = status.accepting;
     receivedAt = now;
-    for (const RouteLatency &route : claim.routes) {
+    for (const RouteLatency &route : status.routes) {
         if (routes.contains(route.route) || routes.size() < maxRoutes) {
             routes[route.route] = route.steps;
         }
     }
-    LatencyDistribution told{};
-    if (decodeDistribution(claim.distribution, told)) {
-        distribution = told;
+    LatencyDistribution decoded{};
+    if (decodeDistribution(status.distribution, decoded)) {
+        distribution = decoded;
     }
 }
 
-void RemoteServer::absorb(const ServerReport &report, base::TimePoint now)
+void RemoteServer::update(const ServerReport &report, base::TimePoint now)
 {
     setState(report.state, now);
     unhealthy = state == ServerState::Ejected || state == ServerState::Trial;
--- a/src/health/remoteserver.h
+++ b/src/health/remoteserver.h
@@ -12,11 +12,11 @@
 
 namespace papayastep::health {
 
-/// What this node was told about a backend server elsewhere, by the node beside it.
+/// State of a backend server on another VM, as the node beside it has reported.
 struct RemoteServer
 {
     ServerState state = ServerState::Healthy;
-    base::TimePoint stateSince; ///< When this node first heard of the state.
+    base::TimePoint stateSince; ///< When this node received the first report of the state.
     bool unhealthy = false;
     int severity = 0;
     int slotsInUse = 0;
@@ -28,14 +28,14 @@
     std::unordered_map<std::uint32_t, std::uint8_t> routes; ///< Latency steps by route hash. Siblings only.
     std::optional<LatencyDistribution> distribution; ///< Siblings only.
 
-    void setState(std::uint8_t told, base::TimePoint now);
-    void update(const ServerStatus &claim, base::TimePoint now);
-    void absorb(const ServerReport &report, base::TimePoint now);
+    void setState(std::uint8_t reported, base::TimePoint now);
+    void update(const ServerStatus &status, base::TimePoint now);
+    void update(const ServerReport &report, base::TimePoint now);
 
-    /// Keeps only what changes slowly: the usual latencies.
+    /// Discards everything but the usual latencies, which change slowly.
     void invalidate();
 
-    /// Takes a share of ordinary work, so its figures say what is usual.
+    /// Whether the server takes a share of ordinary work, so that its figures count in the medians of its service.
     bool takesWork() const;
 };
 
--- a/src/health/rollingmedian.h
+++ b/src/health/rollingmedian.h
@@ -8,7 +8,7 @@
 
 namespace papayastep::health {
 
-/// The median of the last latencies. A median, because one stuck request must not move what counts as usual.
+/// The median of the last 32 latencies. It is a median because one stuck request must not change the usual latency.
 class RollingMedian
 {
 public:
@@ -22,7 +22,7 @@
     {
         return m_size;
     }
-    /// Zero where nothing was added.
+    /// Returns zero if there are no latencies yet.
     base::Duration median() const
     {
         if (m_size == 0) {
--- a/src/health/runestimate.cpp
+++ b/src/health/runestimate.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-/// After it a third of what set a server apart still counts. One that is half as slow again is asked once more within
-/// a second, one that is several times as slow after two.
-constexpr std::chrono::duration<double> driftTime = std::chrono::seconds(1);
+/// Time constant of the decay: after it, a third of the difference from the siblings remains. A server that is half as
+/// slow again gets its next request within a second, one that is several times as slow after two.
+constexpr std::chrono::duration<double> decayTime = std::chrono::seconds(1);
 
-/// Mean run times after which an attempt is overdue. See GrayFailureEstimatorSettings::healthyOverdueRate.
+/// Number of mean run times after which an attempt is overdue. See GrayFailureEstimatorSettings::healthyOverdueRate.
 constexpr int overdueRuns = 3;
-/// Shorter runs are not watched: scheduling on a shared core takes some tens of milliseconds by itself.
+/// Shorter runs never count as overdue: scheduling on a shared core alone takes some tens of milliseconds.
 constexpr base::Duration shortestOverdue = std::chrono::milliseconds(200);
-/// Runs after which the mean of a server's own speaks for itself.
+/// Number of runs from which the server's own mean is used alone.
 constexpr std::size_t enoughRuns = 8;
-/// Taken for the usual while neither the server nor a sibling has answered yet.
-constexpr base::Duration unknownRun = std::chrono::milliseconds(200);
+/// Assumed run time while neither the server nor a sibling has answered yet.
+constexpr base::Duration assumedRun = std::chrono::milliseconds(200);
 
 }
 
@@ -30,7 +30,7 @@
     if (measured <= base::Duration::zero()) {
         return usual;
     }
-    const double left = std::exp(-std::max(0.0, age / driftTime));
+    const double left = std::exp(-std::max(0.0, age / decayTime));
     return usual + std::chrono::duration_cast<base::Duration>((measured - usual) * left);
 }
 
@@ -41,7 +41,7 @@
         expected = std::max(expected, usual);
     }
     if (runs == 0 && usual == base::Duration::zero()) {
-        expected = std::max(expected, unknownRun);
+        expected = std::max(expected, assumedRun);
     }
     return std::max(overdueRuns * expected, shortestOverdue);
 }
--- a/src/health/sequentialtest.cpp
+++ b/src/health/sequentialtest.cpp
@@ -10,8 +10,9 @@
 constexpr double smallestThreshold = 8;
 constexpr double smallestFailureShare = 0.002;
 constexpr double largestFailureShare = 0.6;
-constexpr double failureMargin = 1.5; ///< How far above its siblings a server may stay for ever.
-constexpr double sickShare = 0.25; ///< Of the attempts that would otherwise be good.
+/// Multiple of the siblings' share of failures that counts as healthy without a time limit.
+constexpr double failureMargin = 1.5;
+constexpr double unhealthyShare = 0.25; ///< Share of the otherwise successful attempts that an unhealthy server fails.
 
 }
 
@@ -24,9 +25,9 @@
 FailureModel::FailureModel(double usualShare)
 {
     const double healthy = std::clamp(failureMargin * usualShare, smallestFailureShare, largestFailureShare);
-    const double sick = healthy + (1 - healthy) * sickShare;
-    failed = std::log(sick / healthy);
-    good = std::log((1 - sick) / (1 - healthy));
+    const double unhealthy = healthy + (1 - healthy) * unhealthyShare;
+    failed = std::log(unhealthy / healthy);
+    good = std::log((1 - unhealthy) / (1 - healthy));
 }
 
 }
--- a/src/health/serverevidence.cpp
+++ b/src/health/serverevidence.cpp
@@ -11,13 +11,13 @@
 
 enum Test : std::size_t { SlowerTest, MuchSlowerTest, FailureTest };
 
-constexpr double scoreCap = 1.5; ///< Thresholds. Bounds how long a recovered server stays suspect.
-constexpr double hintHeadStart = 1.386; ///< ln 4: a bad hint costs at most four times the false ejections.
-constexpr double failureWeight = 0.02; ///< Of one attempt in the running share of failures.
-constexpr std::size_t ownHistory = 16; ///< Answers before the own median stands in for missing siblings.
-constexpr std::size_t maxRoutes = 256; ///< Bounds memory; a node sees the routes of its own services only.
-constexpr double offsetStep = 0.003; ///< Octaves an answer: a minute of traffic to learn a difference.
-constexpr double largestOffset = 0.5; ///< Octaves: 1.41 times as slow.
+constexpr double scoreCap = 1.5; ///< In thresholds. It bounds how long a recovered server stays suspect.
+constexpr double failedProbeScore = 1.386; ///< ln 4: a failed probe at most quadruples the false ejections.
+constexpr double failureWeight = 0.02; ///< Weight of one attempt in the moving average of failures.
+constexpr std::size_t minOwnAnswers = 16; ///< Answers from which the own median replaces missing siblings.
+constexpr std::size_t maxRoutes = 256; ///< Bounds the memory; a node serves the routes of its own services only.
+constexpr double offsetStep = 0.003; ///< Octaves for each answer; the offset adapts within a minute of traffic.
+constexpr double largestOffset = 0.5; ///< Octaves: a latency 1.41 times as long.
 constexpr int persistentRefusals = 3;
 constexpr int trialSuccesses = 8;
 constexpr double trialAccept = -1.5;
@@ -99,7 +99,7 @@
         return;
     }
     if (!isRefusal(outcome)) {
-        // The late end of an attempt from before the refusals does not show that the server takes work now.
+        // The late end of an attempt that began before the refusals does not show that the server accepts work now.
         if (m_refusingSince && attempt.startedAt < *m_refusingSince) {
             return;
         }
@@ -136,9 +136,9 @@
     }
 }
 
-// No two VMs are equally fast. A server that is always a fifth slower than the median would walk towards its ejection
-// on every busy day; so what it usually is, within bounds, counts as healthy for it. The bounds keep a server that
-// decays slowly from teaching its own decay.
+// No two VMs are equally fast. A server that is always a fifth slower than the median would approach its ejection on
+// every busy day, so its usual offset from the median counts as healthy within bounds. The bounds keep a server that
+// degrades slowly from adapting to its own degradation.
 void ServerEvidence::learn(double ratio)
 {
     m_histogram.add(ratio);
@@ -168,9 +168,9 @@
                                             const ServiceReference &usual) const
 {
     base::Duration reference{};
-    if (const auto told = usual.routeLatency.find(route); told != usual.routeLatency.end()) {
-        reference = told->second;
-    } else if (const auto own = m_routes.find(route); own != m_routes.end() && own->second.size() >= ownHistory) {
+    if (const auto reported = usual.routeLatency.find(route); reported != usual.routeLatency.end()) {
+        reference = reported->second;
+    } else if (const auto own = m_routes.find(route); own != m_routes.end() && own->second.size() >= minOwnAnswers) {
         reference = own->second.median();
     }
     if (reference <= base::Duration::zero()) {
@@ -191,7 +191,7 @@
 
 void ServerEvidence::setProbeResult(bool good)
 {
-    m_baseScore = good ? 0 : hintHeadStart;
+    m_baseScore = good ? 0 : failedProbeScore;
 }
 
 void ServerEvidence::setCold(bool cold)
@@ -247,7 +247,7 @@
 std::string ServerEvidence::explanation(base::TimePoint now, const ServiceReference &usual) const
 {
     if (!accepting()) {
-        return "it takes no work while its siblings do";
+        return "it accepts no work while its siblings do";
     }
     const Scores all = scores(now, usual);
     const auto worst = std::max_element(all.begin(), all.end()) - all.begin();
--- a/src/health/serverevidence.h
+++ b/src/health/serverevidence.h
@@ -14,59 +14,61 @@
 
 namespace papayastep::health {
 
-/// The short form of a RouteId in messages and tables.
+/// Returns the short form of an identifier (such as a RouteId) that messages and tables use.
 std::uint32_t shortHash(const std::string &id);
 
-/// What is usual for a service, as its siblings tell it: the yardstick of every test.
+/// Usual latencies and failures of a service as its siblings report them: the reference of all tests.
 struct ServiceReference
 {
     LatencyModel model{defaultDistribution()};
-    std::unordered_map<std::uint32_t, base::Duration> routeLatency; ///< Median over siblings, by route hash.
-    double failureShare = 0; ///< Median over siblings.
-    bool siblingsAccept = true; ///< Most siblings take work.
+    std::unordered_map<std::uint32_t, base::Duration> routeLatency; ///< Median over the siblings, by route hash.
+    double failureShare = 0; ///< Median over the siblings, 0 to 1.
+    bool siblingsAccept = true; ///< Whether most siblings accept work.
 };
 
-/// The evidence about one backend server that the node beside it gathers.
+/// Collects the evidence about one backend server on the node beside it.
 class ServerEvidence
 {
 public:
     void started(const AttemptKey &key, std::uint32_t route, base::TimePoint now);
-    /// Unknown keys are ignored: their start was forgotten on purpose (a pause) or belongs to another server.
+    /// Ignores unknown keys: their start was dropped on purpose (a pause), or they belong to another server.
     void finished(const AttemptKey &key,
                   AttemptOutcome outcome,
                   base::Duration latency,
                   base::TimePoint now,
                   const ServiceReference &usual);
 
-    /// The score (in units of log likelihood) at which the server counts as sick.
+    /// Sets the score (in units of log likelihood) at which the server counts as unhealthy.
     void setThreshold(double threshold);
     double threshold() const;
-    /// A cold server may be slower than its siblings for a while.
+    /// A cold server may be slower than its siblings for some time.
     void setCold(bool cold);
     /// See HealthMonitor::probeFinished().
     void setProbeResult(bool good);
 
-    /// Evidence of sickness as a share of the threshold, attempts in flight included.
+    /// Evidence against the server as a share of the threshold, including the attempts in flight.
     double severity(base::TimePoint now, const ServiceReference &usual) const;
-    /// Only refused or shed attempts for so long, while siblings accept: a dead or stuck process.
+    /// Whether all attempts were refused or shed for the limit of the settings while siblings accept work. The process
+    /// is then dead or stuck.
     bool refusesPersistently(base::TimePoint now, const HealthSettings &settings, const ServiceReference &usual) const;
-    /// At the moment it takes no work.
+    /// False if the server has refused or shed its latest attempts.
     bool accepting() const;
-    /// Why the severity is what it is, for a log line.
+    /// The reason for the severity, as a clause for a log line.
     std::string explanation(base::TimePoint now, const ServiceReference &usual) const;
 
-    /// Forgets the tests, for a server that begins anew.
+    /// Resets the tests, after a change of the server's state.
     void resetTests();
-    /// Attempts in flight no longer count, not even when they end: their age includes time that this process slept.
+    /// Ignores the attempts in flight from now on, including their ends: their age includes a pause of this process.
     void invalidateInFlight();
 
-    /// Starts counting for a trial.
+    /// Starts a trial and its counters.
     void beginTrial();
-    /// True: recovered. False: still sick. None: go on. Counts attempts in flight, so a trial that hangs fails.
+    /// True if the server has recovered, false if it is still unhealthy, empty if the trial continues. Attempts in
+    /// flight count, so a trial that hangs fails.
     std::optional<bool> trialVerdict(base::TimePoint now, const ServiceReference &usual) const;
 
     std::size_t inFlight() const;
-    /// Those that were started in the running trial.
+    /// The number of attempts in flight that started in the current trial.
     std::size_t trialInFlight() const;
     std::optional<base::TimePoint> lastFinished() const;
     double requestsPerSecond(base::TimePoint now) const;
@@ -74,7 +76,8 @@
     double failureShare() const;
     const std::unordered_map<std::uint32_t, RollingMedian> &routes() const;
     const LatencyHistogram &histogram() const;
-    /// Whether ended attempts teach the shape; off while the server is suspect or worse.
+    /// Whether ended attempts update the histogram and the usual offset; off while the evidence is at half of the
+    /// threshold or more.
     void setLearning(bool learning);
 
 private:
@@ -112,11 +115,11 @@
     int m_refusals = 0;
     bool m_learning = true;
     bool m_cold = true;
-    double m_usualOffset = 0; ///< Octaves by which the server usually is slower than its siblings, within bounds.
+    double m_usualOffset = 0; ///< Octaves by which the server is usually slower than its siblings, within bounds.
 
     Scores m_trialScores{};
     int m_trialSuccesses = 0;
-    bool m_trialCompared = false; ///< Some latency of the trial could be compared with the siblings'.
+    bool m_trialCompared = false; ///< Whether a latency of the trial was compared with the siblings'.
     int m_trialRefusals = 0;
     bool m_trialRunning = false;
 };
--- a/src/health/serverhold.cpp
+++ b/src/health/serverhold.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// What the end of an attempt says about its server; nothing where the cause is load, or not with the server.
+/// Returns the evidence about the server in the end of an attempt; empty if the cause is load or outside the server.
 std::optional<RunEnd> evidenceOf(AttemptOutcome outcome)
 {
     switch (outcome) {
--- a/src/health/serverhold_test.cpp
+++ b/src/health/serverhold_test.cpp
@@ -34,7 +34,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(serverHold, AnsweringServer)
 
-BOOST_AUTO_TEST_CASE(server_thatBreaksOffAndAnswersAgain_isHeldAndReturns)
+BOOST_AUTO_TEST_CASE(server_withIncompleteAnswers_isHeldAndReturnsAfterACompleteOne)
 {
     BOOST_TEST((run(AttemptOutcome::Partial) == HoldChange::Held));
     BOOST_TEST(hold.isHeldBack());
@@ -44,21 +44,21 @@
     BOOST_TEST((run(AttemptOutcome::Success) == HoldChange::None));
 }
 
-// Guards against many requests meeting the spell at once when the first scout is let through.
-BOOST_AUTO_TEST_CASE(heldServer_withAScoutOnItsWay_admitsNoOther)
+// Guards against many requests that meet the gray failure at once when the first trial request is admitted.
+BOOST_AUTO_TEST_CASE(heldServer_withATrialRequestInFlight_admitsNoOther)
 {
     run(AttemptOutcome::Partial);
     clock.advance(1s);
     BOOST_TEST(hold.admits(true, clock.now()));
     BOOST_TEST(!hold.admits(false, clock.now()));
-    const AttemptKey scout{base::RequestId{2, 1}, 1};
-    hold.started(scout, clock.now());
+    const AttemptKey trial{base::RequestId{2, 1}, 1};
+    hold.started(trial, clock.now());
     BOOST_TEST(!hold.admits(true, clock.now()));
-    hold.ended(scout, AttemptOutcome::CancelledByUs, clock.now());
+    hold.ended(trial, AttemptOutcome::CancelledByUs, clock.now());
     BOOST_TEST(hold.admits(true, clock.now()));
 }
 
-// Guards against holding a server back for load, or for what others did.
+// Guards against holding a server for load, or for failures outside the server.
 BOOST_AUTO_TEST_CASE(server_whoseRunsEndForOtherReasons_isNotHeld)
 {
     for (const auto outcome : {AttemptOutcome::CallFailed,
--- a/src/health/serverlifecycle.cpp
+++ b/src/health/serverlifecycle.cpp
@@ -35,7 +35,7 @@
     return names;
 }
 
-constexpr int maxEjections = 16; ///< Keeps the shift of the hold time in range.
+constexpr int maxEjections = 16; ///< Keeps the shift in ejectionTime() in range.
 
 }
 
@@ -127,8 +127,9 @@
     m_ejections = std::min(m_ejections + 1, maxEjections);
 }
 
-// A server that flaps is ejected again soon after each return. Without a memory of earlier ejections callers would
-// meet the sick phase every few seconds; so each one doubles the hold, and only calm time halves it again.
+// A server that flaps is ejected again soon after each return. If earlier ejections did not count, requests would meet
+// the faulty phase every few seconds. So each ejection doubles the ejection time, and only healthy time halves it
+// again.
 void ServerLifecycle::decayEjections(base::TimePoint now)
 {
     const bool calm = state() == ServerState::Healthy || state() == ServerState::Warming;
--- a/src/health/serverlifecycle.h
+++ b/src/health/serverlifecycle.h
@@ -6,7 +6,7 @@
 
 namespace papayastep::health {
 
-/// One backend server on its way through the chart: hold times, slow start, and how they grow and fade.
+/// State machine of one backend server with its ejection times, which grow and decay, and its slow start.
 class ServerLifecycle
 {
 public:
@@ -14,13 +14,14 @@
 
     ServerState state() const;
     base::TimePoint since() const;
-    /// The share of work it should get.
+    /// The share of work that the server should get, 0 to 1.
     double weight(base::TimePoint now) const;
     base::Duration ejectionTime() const;
 
-    /// Takes `event` if the chart has a transition for it here. Returns whether the state changed.
+    /// Handles `event` if the chart has a transition for it in the current state. Returns whether the state changed.
     bool handle(ServerEvent event, base::TimePoint now);
-    /// Takes the events that only time brings: the hold or the warming is over. Returns whether the state changed.
+    /// Handles the events that depend on time only: the end of an ejection or of the slow start. Returns whether the
+    /// state changed.
     bool advance(base::TimePoint now);
 
 private:
@@ -31,8 +32,8 @@
     base::StateMachine<ServerState, ServerEvent> m_machine;
     base::TimePoint m_since;
     base::TimePoint m_warmingSince;
-    base::TimePoint m_decaySince; ///< Since when the hold time has been fading.
-    int m_ejections = 0; ///< Recent ones, faded; the exponent of the hold time.
+    base::TimePoint m_decaySince; ///< Time up to which the decay of the ejection time is applied.
+    int m_ejections = 0; ///< Recent ejections after the decay; the exponent of the ejection time.
 };
 
 }
--- a/src/health/siblings_test.cpp
+++ b/src/health/siblings_test.cpp
@@ -21,7 +21,7 @@
     return result;
 }
 
-/// One node of a service of four, that hears whatever a test says in the name of the others.
+/// One node of a service with four servers. It receives the messages that a test sends for the other nodes.
 struct OneNode
 {
     base::ManualClock clock;
@@ -56,28 +56,28 @@
         }
     }
 
-    static ServerStatus claimOf(int index, ServerState state = ServerState::Healthy)
+    static ServerStatus statusOf(int index, ServerState state = ServerState::Healthy)
     {
-        ServerStatus claim;
-        claim.server = shortHash(serverId(index).value());
-        claim.state = static_cast<std::uint8_t>(state);
-        claim.unhealthy = state == ServerState::Ejected;
-        claim.latencySteps = latencySteps(30ms);
-        return claim;
+        ServerStatus status;
+        status.server = shortHash(serverId(index).value());
+        status.state = static_cast<std::uint8_t>(state);
+        status.unhealthy = state == ServerState::Ejected;
+        status.latencySteps = latencySteps(30ms);
+        return status;
     }
 
-    void hear(int from, const ServerStatus &claim, base::Incarnation incarnation = 7)
+    void receiveStatus(int from, const ServerStatus &status, base::Incarnation incarnation = 7)
     {
         SiblingState state;
         state.version = ++version;
-        state.servers.push_back(claim);
+        state.servers.push_back(status);
         monitor.receive(vmId(from), incarnation, wire::MessageKind::SiblingState, wire::encode(state));
     }
 
-    void hearAllHealthy()
+    void receiveAllHealthy()
     {
         for (int index = 1; index < 4; ++index) {
-            hear(index, claimOf(index));
+            receiveStatus(index, statusOf(index));
         }
     }
 
@@ -101,14 +101,15 @@
 
 }
 
-// A server answered a few requests slowly, to this entry or by what its node told, and nothing was heard since. As long
-// as it is taken for slow it gets nothing, so it would never be seen that it is well: its callers crowd at the others.
-BOOST_FIXTURE_TEST_CASE(server_slowSomeTimeAgo_isTakenForAsQuickAsItsSiblings, OneNode)
+// A server answered a few requests slowly, as this entry node or its own node observed, and there was no report since.
+// Guards against regarding it as slow without a limit: it would get no requests that could show that it is not, and the
+// others would be overloaded.
+BOOST_FIXTURE_TEST_CASE(server_slowSomeTimeAgo_isEstimatedAsFastAsItsSiblings, OneNode)
 {
-    hearAllHealthy();
-    ServerStatus slow = claimOf(2);
+    receiveAllHealthy();
+    ServerStatus slow = statusOf(2);
     slow.latencySteps = latencySteps(300ms);
-    hear(2, slow);
+    receiveStatus(2, slow);
     for (std::uint64_t number = 1; number <= 4; ++number) {
         const AttemptKey key{{1, number}, 1};
         monitor.hopSent(vmId(3), serverId(3), key);
@@ -122,40 +123,43 @@
     BOOST_TEST((monitor.view(serverId(3)).latency < 50ms));
 }
 
-// A node tells that its server is ejected; an entry that goes on sending there only collects refusals.
-BOOST_FIXTURE_TEST_CASE(sibling_sayingItIsEjected_getsNoWork, OneNode)
+// A node reports that its server is ejected. Guards against an entry node that continues to send requests there, which
+// are refused.
+BOOST_FIXTURE_TEST_CASE(sibling_reportingItsEjection_getsNoWork, OneNode)
 {
-    hearAllHealthy();
-    hear(2, claimOf(2, ServerState::Ejected));
+    receiveAllHealthy();
+    receiveStatus(2, statusOf(2, ServerState::Ejected));
     BOOST_TEST((availability(2) == Availability::Ejected));
     BOOST_TEST(!monitor.view(serverId(2)).usable());
 }
 
-// A VM restarts; a message that its old self sent before arrives after the first one of the new self. Believed, it
-// would eject the fresh server.
-BOOST_FIXTURE_TEST_CASE(message_ofTheOldSelf_isIgnored, OneNode)
+// A VM restarts, and a message of its earlier incarnation arrives after the first one of the new incarnation. Guards
+// against ejecting the new server because of the late message.
+BOOST_FIXTURE_TEST_CASE(message_ofAnEarlierIncarnation_isIgnored, OneNode)
 {
-    hearAllHealthy();
-    hear(2, claimOf(2), 8);
-    hear(2, claimOf(2, ServerState::Ejected), 7);
+    receiveAllHealthy();
+    receiveStatus(2, statusOf(2), 8);
+    receiveStatus(2, statusOf(2, ServerState::Ejected), 7);
     BOOST_TEST((availability(2) == Availability::Usable));
     BOOST_TEST(monitor.counters().messagesIgnored == 1U);
 }
 
-// A VM that said farewell is replaced under its old name. The farewell was meant for the old one.
+// A VM that announced that it leaves is replaced under the same name. Guards against applying the announcement to the
+// new VM.
 BOOST_FIXTURE_TEST_CASE(vm_leavingAndReplaced_isUsedAgain, OneNode)
 {
-    hearAllHealthy();
+    receiveAllHealthy();
     monitor.receive(vmId(2), 7, wire::MessageKind::SiblingLeaving, wire::encode(SiblingLeaving{vmId(2).value()}));
     BOOST_TEST((availability(2) == Availability::Gone));
-    hear(2, claimOf(2, ServerState::Warming), 7);
+    receiveStatus(2, statusOf(2, ServerState::Warming), 7);
     BOOST_TEST((availability(2) == Availability::Gone));
-    hear(2, claimOf(2, ServerState::Warming), 8);
+    receiveStatus(2, statusOf(2, ServerState::Warming), 8);
     BOOST_TEST((availability(2) == Availability::Usable));
 }
 
-// The lagging list names a leaving VM that is no sibling and says nothing itself.
-BOOST_FIXTURE_TEST_CASE(vm_namedAsLeaving_getsNoNewWork, OneNode)
+// The VM list, which lags behind, marks a VM as leaving that is no sibling and so sends no message itself. Guards
+// against new work for it.
+BOOST_FIXTURE_TEST_CASE(vm_listedAsLeaving_getsNoNewWork, OneNode)
 {
     config::VmList list;
     list.vms.push_back(config::VmEntry{vmId(11), base::ZoneId("z"), "127.0.0.1", 1, 2, 3, 4, true});
@@ -165,26 +169,27 @@
     BOOST_TEST((availability(12) == Availability::Usable));
 }
 
-// This node itself is told to leave: it tells its siblings at once and admits nothing more.
-BOOST_FIXTURE_TEST_CASE(self_leaving_tellsItsSiblingsAtOnce, OneNode)
+// This node itself leaves. Guards against siblings that continue to send requests until the VM list changes.
+BOOST_FIXTURE_TEST_CASE(node_leaving_notifiesItsSiblingsAtOnce, OneNode)
 {
     monitor.takeMessages();
     monitor.setLeaving(vmId(0));
-    int farewells = 0;
+    int leavingMessages = 0;
     for (const wire::Outgoing &message : monitor.takeMessages()) {
-        farewells += message.kind == wire::MessageKind::SiblingLeaving ? 1 : 0;
+        leavingMessages += message.kind == wire::MessageKind::SiblingLeaving ? 1 : 0;
     }
-    BOOST_TEST(farewells == 3);
+    BOOST_TEST(leavingMessages == 3);
     BOOST_TEST((monitor.admission(serverId(0)) == Admission::Draining));
 }
 
-// A sibling claims to be idle and a hundred times as quick as the rest. Believed, it would draw all traffic.
-BOOST_FIXTURE_TEST_CASE(sibling_lyingAboutItsLoad_isBoundedByWhatIsSeen, OneNode)
+// A sibling wrongly reports to be idle and a hundred times as fast as the others. Guards against sending it all
+// traffic.
+BOOST_FIXTURE_TEST_CASE(sibling_reportingWrongLoad_isBoundedByOwnObservations, OneNode)
 {
-    hearAllHealthy();
-    ServerStatus liar = claimOf(1);
-    liar.latencySteps = 1;
-    hear(1, liar);
+    receiveAllHealthy();
+    ServerStatus wrong = statusOf(1);
+    wrong.latencySteps = 1;
+    receiveStatus(1, wrong);
     for (std::uint32_t attempt = 0; attempt < 3; ++attempt) {
         monitor.hopSent(vmId(1), serverId(1), AttemptKey{{}, attempt});
     }
@@ -194,8 +199,9 @@
     BOOST_TEST(view.weight <= 1);
 }
 
-// A serving node says that all is well while every answer this entry gets from it is an error.
-BOOST_FIXTURE_TEST_CASE(entry_seeingOnlyErrors_believesItselfMore, OneNode)
+// A serving node reports a healthy server while all answers that this entry node gets are errors. Guards against using
+// the server because of the reports.
+BOOST_FIXTURE_TEST_CASE(entry_receivingOnlyErrors_avoidsTheServerDespiteReports, OneNode)
 {
     for (std::uint32_t attempt = 0; attempt < 20; ++attempt) {
         for (int index = 10; index < 14; ++index) {
@@ -213,8 +219,9 @@
     BOOST_TEST(monitor.counters().entryEjections == 1U);
 }
 
-// Two nodes of a service far away contradict each other about a third, which says that it is well.
-BOOST_FIXTURE_TEST_CASE(reports_contradictingEachOther_leaveTheWordToTheServerItself, OneNode)
+// Two nodes of a service of other VMs send contradicting reports about a third server, whose own node reports it as
+// healthy. Guards against avoiding the server because of the outdated report.
+BOOST_FIXTURE_TEST_CASE(reports_contradictingEachOther_yieldToThatOfTheServersOwnNode, OneNode)
 {
     monitor.applyReport(vmId(10), reportOf(10, {12}));
     BOOST_TEST((availability(12) == Availability::Ejected));
@@ -224,8 +231,8 @@
     BOOST_TEST((availability(12) == Availability::Usable));
 }
 
-// A single reporter accuses all others. Its word must not take a service below its floor.
-BOOST_FIXTURE_TEST_CASE(report_accusingAllOthers_isCutByTheFloor, OneNode)
+// A single node reports all other servers as ejected. Guards against going below the floor of the service.
+BOOST_FIXTURE_TEST_CASE(report_ofAllOthersAsEjected_isLimitedByTheFloor, OneNode)
 {
     monitor.applyReport(vmId(10), reportOf(10, {11, 12, 13}));
     int usable = 0;
@@ -235,11 +242,12 @@
     BOOST_TEST(usable >= 2);
 }
 
-// The process is stopped for ten seconds. What it believed is old, and a report made from it would mislead entries.
-BOOST_FIXTURE_TEST_CASE(process_wokenFromPause_reportsNothingUntilFreshEvidence, OneNode)
+// The process is paused for ten seconds, so its state is outdated. Guards against misleading entry nodes by reports of
+// that state.
+BOOST_FIXTURE_TEST_CASE(process_resumedAfterPause_reportsNothingUntilNewEvidence, OneNode)
 {
-    hearAllHealthy();
-    hear(2, claimOf(2, ServerState::Ejected));
+    receiveAllHealthy();
+    receiveStatus(2, statusOf(2, ServerState::Ejected));
     monitor.attemptStarted(serverId(0), AttemptKey{}, base::RouteId("r"));
     wait(100ms);
     monitor.takeMessages();
@@ -250,22 +258,23 @@
     monitor.tick();
     BOOST_TEST(monitor.takeMessages().empty());
     BOOST_TEST((availability(2) != Availability::Ejected));
-    hear(1, claimOf(1));
+    receiveStatus(1, statusOf(1));
     BOOST_TEST(monitor.report(serverId(0)).upToDate);
 }
 
-// Messages can be cut, forged by a bug, or come from a newer node. None of them may stop this one.
+// Messages can be truncated, malformed because of a bug, or sent by a newer node. Guards against a failure of this node
+// because of them.
 BOOST_FIXTURE_TEST_CASE(message_malformed_isCountedAndIgnored, OneNode)
 {
     monitor.receive(vmId(1), 7, wire::MessageKind::SiblingState, "rubbish");
     monitor.receive(vmId(99), 7, wire::MessageKind::SiblingState, wire::encode(SiblingState{}));
-    hear(1, claimOf(1, static_cast<ServerState>(200)));
+    receiveStatus(1, statusOf(1, static_cast<ServerState>(200)));
     BOOST_TEST(monitor.counters().messagesIgnored == 2U);
     BOOST_TEST((availability(1) == Availability::Usable));
 }
 
-// A VM with servers of nine services has 144 siblings. Telling each of them every second would spend many times
-// what a node may spend on control.
+// A VM with servers of nine services has 144 siblings. Guards against a message to each of them every second, which
+// would exceed the budget of a node for control traffic many times.
 BOOST_AUTO_TEST_CASE(messages_ofVmWithManySiblings_stayWithinTheBudget)
 {
     base::ManualClock clock;
--- a/src/health/siblingtable.cpp
+++ b/src/health/siblingtable.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr int changedSteps = 2; ///< A quarter of an octave, beyond the noise of a median of 32.
-constexpr std::size_t maxRoutesPerClaim = 8;
-constexpr std::uint64_t shapeEvery = 20; ///< Messages.
-constexpr std::uint64_t firstShape = 3;
-constexpr std::size_t maxRetired = 8;
+constexpr int changedSteps = 2; ///< A quarter of an octave, more than the noise of a median of 32 samples.
+constexpr std::size_t maxRoutesPerStatus = 8;
+constexpr std::uint64_t distributionInterval = 20; ///< Every 20th message includes the latency distribution.
+constexpr std::uint64_t firstDistribution = 3;
+constexpr std::size_t maxRetiredIncarnations = 8;
 constexpr double bytesWeight = 0.1;
 constexpr double unitsPerMillisecond = 1e6;
 const base::Duration maxInterval = std::chrono::seconds(30);
@@ -25,13 +25,13 @@
     return *middle;
 }
 
-std::vector<const RemoteServer *> workingBeliefs(const std::vector<base::BackendServerId> &servers,
-                                                 const RemoteServers &beliefs)
+std::vector<const RemoteServer *> workingServers(const std::vector<base::BackendServerId> &servers,
+                                                 const RemoteServers &remoteServers)
 {
     std::vector<const RemoteServer *> result;
     for (const base::BackendServerId &server : servers) {
-        const auto found = beliefs.find(server);
-        if (found != beliefs.end() && found->second.receivedAt && found->second.takesWork()) {
+        const auto found = remoteServers.find(server);
+        if (found != remoteServers.end() && found->second.receivedAt && found->second.takesWork()) {
             result.push_back(&found->second);
         }
     }
@@ -101,8 +101,8 @@
     if (peer.incarnation == incarnation) {
         return true;
     }
-    // A message that the old self of a restarted VM sent can arrive after the new self spoke. Believed, it would
-    // bring back an ejection or a farewell that is no longer meant.
+    // A message of an earlier incarnation of a restarted VM can arrive after one of the new incarnation. Accepted, it
+    // would restore an ejection or a departure that is no longer valid.
     if (std::find(peer.retiredIncarnations.begin(), peer.retiredIncarnations.end(), incarnation)
         != peer.retiredIncarnations.end()) {
         return false;
@@ -110,7 +110,7 @@
     if (peer.incarnation != 0) {
         peer.retiredIncarnations.push_back(peer.incarnation);
     }
-    if (peer.retiredIncarnations.size() > maxRetired) {
+    if (peer.retiredIncarnations.size() > maxRetiredIncarnations) {
         peer.retiredIncarnations.erase(peer.retiredIncarnations.begin());
     }
     peer.incarnation = incarnation;
@@ -123,7 +123,7 @@
                                 base::Incarnation incarnation,
                                 std::string_view payload,
                                 const config::Configuration &configuration,
-                                RemoteServers &beliefs,
+                                RemoteServers &remoteServers,
                                 base::TimePoint now)
 {
     const auto state = wire::decode<SiblingState>(payload);
@@ -139,12 +139,12 @@
     peer.reportedUnreachable = false;
     const base::Duration announced = std::chrono::milliseconds(state.intervalMs);
     peer.interval = std::clamp<base::Duration>(announced, m_settings.siblingInterval, maxInterval);
-    for (const ServerStatus &claim : state.servers) {
+    for (const ServerStatus &status : state.servers) {
         for (const base::ServiceId &service : peer.services) {
-            const config::BackendServer *server = serverOf(configuration, service, claim.server);
-            // A VM speaks for its own servers only.
+            const config::BackendServer *server = serverOf(configuration, service, status.server);
+            // A VM reports the status of its own servers only.
             if (server != nullptr && server->vm == from) {
-                beliefs[server->id].update(claim, now);
+                remoteServers[server->id].update(status, now);
             }
         }
     }
@@ -171,14 +171,14 @@
 
 std::vector<base::VmId> SiblingTable::newlyUnreachable(base::TimePoint now)
 {
-    std::vector<base::VmId> silent;
+    std::vector<base::VmId> unreachable;
     for (auto &[vm, peer] : m_peers) {
         if (peer.receivedAt && !peer.reportedUnreachable && !reachable(vm, now)) {
             peer.reportedUnreachable = true;
-            silent.push_back(vm);
+            unreachable.push_back(vm);
         }
     }
-    return silent;
+    return unreachable;
 }
 
 std::vector<base::VmId> SiblingTable::siblings() const
@@ -190,7 +190,7 @@
     return result;
 }
 
-// The budget decides: a VM with servers of many services has more siblings than it can speak to each second.
+// The budget sets the interval: a VM with servers of many services has more siblings than it can send to each second.
 base::Duration SiblingTable::interval() const
 {
     const double seconds = static_cast<double>(m_peers.size()) * m_meanMessageBytes / m_settings.controlBytesPerSecond;
@@ -203,61 +203,61 @@
     return std::any_of(m_peers.begin(), m_peers.end(), [&](const auto &entry) { return now >= entry.second.nextDue; });
 }
 
-std::vector<wire::Outgoing> SiblingTable::dueMessages(const std::vector<FullServerStatus> &claims,
+std::vector<wire::Outgoing> SiblingTable::dueMessages(const std::vector<FullServerStatus> &statuses,
                                                       const std::set<base::ServiceId> &urgent,
                                                       base::TimePoint now)
 {
     std::vector<wire::Outgoing> messages;
     for (auto &[vm, peer] : m_peers) {
         const std::set<base::ServiceId> &common = peer.services;
-        const bool concerned = std::any_of(
+        const bool isAffected = std::any_of(
             urgent.begin(), urgent.end(), [&common](const auto &service) { return common.contains(service); });
-        if (!concerned && now < peer.nextDue) {
+        if (!isAffected && now < peer.nextDue) {
             continue;
         }
         peer.nextDue = now + interval();
-        messages.push_back(wire::outgoing(vm, wire::MessageKind::SiblingState, stateFor(peer, claims)));
+        messages.push_back(wire::outgoing(vm, wire::MessageKind::SiblingState, stateFor(peer, statuses)));
         const double bytes = static_cast<double>(messages.back().payload.size()) + m_settings.messageOverheadBytes;
         m_meanMessageBytes += bytesWeight * (bytes - m_meanMessageBytes);
     }
     return messages;
 }
 
-SiblingState SiblingTable::stateFor(Peer &peer, const std::vector<FullServerStatus> &claims)
+SiblingState SiblingTable::stateFor(Peer &peer, const std::vector<FullServerStatus> &statuses)
 {
     SiblingState state;
     state.version = ++m_version;
     state.intervalMs = static_cast<std::uint16_t>(static_cast<double>(interval().count()) / unitsPerMillisecond);
-    const bool withShape = peer.messages % shapeEvery == firstShape;
+    const bool withDistribution = peer.messages % distributionInterval == firstDistribution;
     ++peer.messages;
-    for (const FullServerStatus &full : claims) {
+    for (const FullServerStatus &full : statuses) {
         if (!peer.services.contains(full.service)) {
             continue;
         }
-        ServerStatus claim = full.status;
-        chooseRoutes(peer, full, claim);
-        if (withShape) {
-            claim.distribution = full.distribution;
+        ServerStatus status = full.status;
+        chooseRoutes(peer, full, status);
+        if (withDistribution) {
+            status.distribution = full.distribution;
         }
-        state.servers.push_back(claim);
+        state.servers.push_back(status);
     }
     return state;
 }
 
-void SiblingTable::chooseRoutes(Peer &peer, const FullServerStatus &full, ServerStatus &claim) const
+void SiblingTable::chooseRoutes(Peer &peer, const FullServerStatus &full, ServerStatus &status) const
 {
-    const auto tell = [&](std::uint32_t route, std::uint8_t steps) {
-        claim.routes.push_back(RouteLatency{route, steps});
-        peer.sentRoutes[{claim.server, route}] = steps;
+    const auto addRoute = [&](std::uint32_t route, std::uint8_t steps) {
+        status.routes.push_back(RouteLatency{route, steps});
+        peer.sentRoutes[{status.server, route}] = steps;
     };
     for (const auto &[route, steps] : full.routes) {
-        const auto told = peer.sentRoutes.find({claim.server, route});
-        const bool changed = told == peer.sentRoutes.end() || std::abs(told->second - steps) >= changedSteps;
-        if (changed && claim.routes.size() < maxRoutesPerClaim) {
-            tell(route, steps);
+        const auto sent = peer.sentRoutes.find({status.server, route});
+        const bool changed = sent == peer.sentRoutes.end() || std::abs(sent->second - steps) >= changedSteps;
+        if (changed && status.routes.size() < maxRoutesPerStatus) {
+            addRoute(route, steps);
         }
     }
-    if (!claim.routes.empty() || full.routes.empty()) {
+    if (!status.routes.empty() || full.routes.empty()) {
         return;
     }
     auto next = full.routes.upper_bound(peer.lastRefreshedRoute);
@@ -265,32 +265,32 @@
         next = full.routes.begin();
     }
     peer.lastRefreshedRoute = next->first;
-    tell(next->first, next->second);
+    addRoute(next->first, next->second);
 }
 
-ServiceReference referenceOf(const std::vector<base::BackendServerId> &servers, const RemoteServers &beliefs)
+ServiceReference referenceOf(const std::vector<base::BackendServerId> &servers, const RemoteServers &remoteServers)
 {
     ServiceReference reference;
     std::unordered_map<std::uint32_t, std::vector<std::uint8_t>> steps;
-    std::vector<LatencyDistribution> shapes;
+    std::vector<LatencyDistribution> distributions;
     std::vector<double> failures;
     std::size_t accepting = 0;
-    const auto working = workingBeliefs(servers, beliefs);
-    for (const RemoteServer *belief : working) {
-        for (const auto &[route, told] : belief->routes) {
-            steps[route].push_back(told);
+    const auto working = workingServers(servers, remoteServers);
+    for (const RemoteServer *remote : working) {
+        for (const auto &[route, reported] : remote->routes) {
+            steps[route].push_back(reported);
         }
-        if (belief->distribution) {
-            shapes.push_back(*belief->distribution);
+        if (remote->distribution) {
+            distributions.push_back(*remote->distribution);
         }
-        failures.push_back(belief->failureShare);
-        accepting += belief->accepting ? 1 : 0;
+        failures.push_back(remote->failureShare);
+        accepting += remote->accepting ? 1 : 0;
     }
-    for (auto &[route, told] : steps) {
-        reference.routeLatency[route] = latencyOf(lowerMedian(told));
+    for (auto &[route, reported] : steps) {
+        reference.routeLatency[route] = latencyOf(lowerMedian(reported));
     }
-    if (!shapes.empty()) {
-        reference.model = LatencyModel(medianDistribution(shapes));
+    if (!distributions.empty()) {
+        reference.model = LatencyModel(medianDistribution(distributions));
     }
     if (!failures.empty()) {
         reference.failureShare = lowerMedian(failures);
@@ -299,11 +299,11 @@
     return reference;
 }
 
-int medianSeverity(const std::vector<base::BackendServerId> &servers, const RemoteServers &beliefs)
+int medianSeverity(const std::vector<base::BackendServerId> &servers, const RemoteServers &remoteServers)
 {
     std::vector<int> severities;
-    for (const RemoteServer *belief : workingBeliefs(servers, beliefs)) {
-        severities.push_back(belief->severity);
+    for (const RemoteServer *remote : workingServers(servers, remoteServers)) {
+        severities.push_back(remote->severity);
     }
     return severities.empty() ? 0 : lowerMedian(severities);
 }
--- a/src/health/siblingtable.h
+++ b/src/health/siblingtable.h
@@ -17,62 +17,64 @@
 
 namespace papayastep::health {
 
-/// All that this node was told about backend servers elsewhere.
+/// The backend servers on other VMs of which this node has reports.
 using RemoteServers = std::unordered_map<base::BackendServerId, RemoteServer>;
 
-/// A claim of the own node and all the routes and the shape it could tell with it.
+/// Status of a server of the own node, with all routes and the latency distribution that messages may include.
 struct FullServerStatus
 {
     base::ServiceId service;
-    ServerStatus status; ///< Without routes and shape.
+    ServerStatus status; ///< Without routes and distribution.
     std::map<std::uint32_t, std::uint8_t> routes;
-    std::string distribution; ///< Empty: not known yet.
+    std::string distribution; ///< Encoded; empty if not known yet.
 };
 
-/// The siblings: VMs that carry servers of a service that this VM has a server of, too. Reads and writes the
-/// messages between them and works out what is usual for a service.
+/// The siblings of this VM: other VMs that run servers of a service that this VM has a server of. Decodes and creates
+/// the messages between siblings.
 class SiblingTable
 {
 public:
     SiblingTable(base::VmId self, std::uint64_t seed, const HealthSettings &settings);
 
-    /// Forgets siblings that are none any more; keeps what is known of the others.
+    /// Removes VMs that are no longer siblings and keeps the state of the others.
     void configure(const config::Configuration &configuration, base::TimePoint now);
-    /// All siblings have to be heard of again.
+    /// Treats all siblings as unreachable until their next message.
     void invalidate();
 
-    /// False if the message was ignored: out of date, malformed, or from no sibling.
+    /// Handles a SiblingState message. Returns false if it was ignored because it is out of date or from no sibling.
+    /// Throws base::Error if it is malformed.
     bool receiveState(const base::VmId &from,
                       base::Incarnation incarnation,
                       std::string_view payload,
                       const config::Configuration &configuration,
-                      RemoteServers &beliefs,
+                      RemoteServers &remoteServers,
                       base::TimePoint now);
-    /// Whether a message of `incarnation` may count: false for the old self of a restarted VM.
+    /// Whether a message of `incarnation` is valid: false for an earlier incarnation of a restarted VM.
     bool acceptIncarnation(const base::VmId &from, base::Incarnation incarnation);
 
     bool isSibling(const base::VmId &vm) const;
-    /// Heard of lately, by what it said itself about when it would speak again.
+    /// Whether a message of `vm` arrived recently, relative to the interval that the VM itself announced.
     bool reachable(const base::VmId &vm, base::TimePoint now) const;
-    /// Siblings that fell silent since the last call.
+    /// The siblings that became unreachable since the last call.
     std::vector<base::VmId> newlyUnreachable(base::TimePoint now);
     std::vector<base::VmId> siblings() const;
 
     bool anyDue(base::TimePoint now) const;
-    /// The next message to each sibling that is due. `urgent`: to those of these services at once.
-    std::vector<wire::Outgoing> dueMessages(const std::vector<FullServerStatus> &claims,
+    /// Creates the messages that are due. Siblings with a service in `urgent` get one in any case.
+    std::vector<wire::Outgoing> dueMessages(const std::vector<FullServerStatus> &statuses,
                                             const std::set<base::ServiceId> &urgent,
                                             base::TimePoint now);
-    /// Between two messages to the same sibling, as the budget allows.
+    /// The time between two messages to the same sibling, as the budget allows.
     base::Duration interval() const;
 
 private:
     struct Peer
     {
-        std::set<base::ServiceId> services; ///< Common ones.
+        std::set<base::ServiceId> services; ///< The common services.
         base::TimePoint nextDue;
-        std::map<std::pair<std::uint32_t, std::uint32_t>, std::uint8_t> sentRoutes; ///< By server and route.
-        std::uint32_t lastRefreshedRoute = 0; ///< Routes are told again in turn, in case a message was lost.
+        std::map<std::pair<std::uint32_t, std::uint32_t>, std::uint8_t>
+            sentRoutes; ///< Last sent latency steps, by server and route.
+        std::uint32_t lastRefreshedRoute = 0; ///< Routes are sent again in turn, in case a message was lost.
         std::uint64_t messages = 0;
 
         base::Incarnation incarnation = 0;
@@ -83,21 +85,22 @@
         bool reportedUnreachable = false;
     };
 
-    SiblingState stateFor(Peer &peer, const std::vector<FullServerStatus> &claims);
-    void chooseRoutes(Peer &peer, const FullServerStatus &full, ServerStatus &claim) const;
+    SiblingState stateFor(Peer &peer, const std::vector<FullServerStatus> &statuses);
+    void chooseRoutes(Peer &peer, const FullServerStatus &full, ServerStatus &status) const;
 
     base::VmId m_self;
     HealthSettings m_settings;
     std::mt19937_64 m_random;
     std::map<base::VmId, Peer> m_peers;
     std::uint64_t m_version = 0;
-    double m_meanMessageBytes = 150; ///< Running mean, overhead included.
+    double m_meanMessageBytes = 150; ///< Moving average, including the overhead.
 };
 
-/// What is usual for `servers` of a service: medians over the siblings that work.
-ServiceReference referenceOf(const std::vector<base::BackendServerId> &servers, const RemoteServers &beliefs);
+/// The usual latencies and failures of `servers` of a service: medians over the siblings that take work.
+ServiceReference referenceOf(const std::vector<base::BackendServerId> &servers, const RemoteServers &remoteServers);
 
-/// The median severity of the working siblings, percent: what everybody suffers from accuses nobody.
-int medianSeverity(const std::vector<base::BackendServerId> &servers, const RemoteServers &beliefs);
+/// The median severity in percent of the siblings that take work. It is subtracted from the severity of each server,
+/// because a fault that all servers share must eject none.
+int medianSeverity(const std::vector<base::BackendServerId> &servers, const RemoteServers &remoteServers);
 
 }
--- a/src/health/syntheticfleet.cpp
+++ b/src/health/syntheticfleet.cpp
@@ -16,10 +16,12 @@
 const base::Duration deadline = 5s;
 const base::Duration acknowledgeTimeout = 1s;
 const base::Duration flapPeriod = 6s;
-const base::Duration stallLength = 150ms; ///< A garbage collection: all requests of a server wait.
+/// Length of a garbage collection, during which all requests of a server wait.
+const base::Duration stallLength = 150ms;
 constexpr double stallsPerSecond = 1.0 / 60;
-constexpr double usualErrors = 0.001;
-constexpr double speedSpread = 0.1; ///< Servers are never quite alike.
+constexpr double usualErrorRate = 0.001;
+/// Standard deviation of the logarithm of the servers' speed, as servers are never equal.
+constexpr double speedSpread = 0.1;
 constexpr int maxTries = 3;
 constexpr double trialShare = 0.06;
 const std::string serviceName = "service";
@@ -66,17 +68,17 @@
     return base::VmId((index < 10 ? "vm-0" : "vm-") + std::to_string(index));
 }
 
-MonitorDetector::MonitorDetector(const ServiceProfile &shape,
+MonitorDetector::MonitorDetector(const ServiceProfile &profile,
                                  const base::ManualClock &clock,
                                  std::uint64_t seed,
                                  Link link)
-    : m_profile(shape)
+    : m_profile(profile)
     , m_clock(clock)
     , m_link(std::move(link))
     , m_seed(seed)
-    , m_paused(static_cast<std::size_t>(shape.servers), false)
+    , m_paused(static_cast<std::size_t>(profile.servers), false)
 {
-    for (int vm = 0; vm < shape.servers; ++vm) {
+    for (int vm = 0; vm < profile.servers; ++vm) {
         m_incarnations.push_back(static_cast<base::Incarnation>(vm) + 1);
         m_monitors.push_back(std::make_unique<HealthMonitor>(
             NodeIdentity{vmId(vm), m_incarnations.back()}, clock, seed + static_cast<std::uint64_t>(vm)));
@@ -194,8 +196,8 @@
         }
         for (const wire::Outgoing &message : monitor(from).takeMessages()) {
             for (int to = 0; to < m_profile.servers; ++to) {
-                const bool awake = !m_paused[static_cast<std::size_t>(to)];
-                if (message.to == vmId(to) && awake && m_link(from, to)) {
+                const bool isRunning = !m_paused[static_cast<std::size_t>(to)];
+                if (message.to == vmId(to) && isRunning && m_link(from, to)) {
                     monitor(to).receive(
                         vmId(from), m_incarnations[static_cast<std::size_t>(from)], message.kind, message.payload);
                 }
@@ -230,25 +232,25 @@
     m_paused[static_cast<std::size_t>(vm)] = paused;
 }
 
-Fleet::Fleet(const ServiceProfile &shape, std::uint64_t seed, const MakeDetector &make)
-    : m_profile(shape)
+Fleet::Fleet(const ServiceProfile &profile, std::uint64_t seed, const MakeDetector &make)
+    : m_profile(profile)
     , m_start(m_clock.now())
     , m_random(seed)
-    , m_queues(static_cast<std::size_t>(shape.servers))
+    , m_queues(static_cast<std::size_t>(profile.servers))
     , m_busy(m_queues.size(), 0)
     , m_stalledUntil(m_queues.size())
     , m_started(m_queues.size(), 0)
 {
     m_detector = make(m_clock, [this](int from, int to) { return delivers(from, to); });
     std::normal_distribution<double> normal(0, speedSpread);
-    for (int server = 0; server < shape.servers; ++server) {
+    for (int server = 0; server < profile.servers; ++server) {
         m_speed.push_back(std::exp(normal(m_random)));
     }
     double meanSeconds = 0;
-    for (const RouteProfile &route : shape.routes) {
+    for (const RouteProfile &route : profile.routes) {
         meanSeconds += route.share * toSeconds(route.median) * std::exp(route.sigma * route.sigma / 2);
     }
-    m_arrivalsPerSecond = shape.load * shape.servers * shape.slots / meanSeconds;
+    m_arrivalsPerSecond = profile.load * profile.servers * profile.slots / meanSeconds;
     schedule({}, Step::Arrival);
     schedule({}, Step::Tick);
 }
@@ -451,7 +453,7 @@
     const RouteProfile &route = m_profile.routes[hop.route];
     double seconds = toSeconds(route.median) * m_speed[server]
         * std::exp(std::normal_distribution<double>(0, route.sigma)(m_random));
-    outcome = chance(m_random) < usualErrors ? AttemptOutcome::Error : AttemptOutcome::Success;
+    outcome = chance(m_random) < usualErrorRate ? AttemptOutcome::Error : AttemptOutcome::Success;
     seconds *= active(Fault::SlowTenfold, hop.server) ? 10 : 1;
     seconds *= active(Fault::SlowTwice, hop.server) ? 2 : 1;
     if (active(Fault::HalfAlive, hop.server)
--- a/src/health/syntheticfleet.h
+++ b/src/health/syntheticfleet.h
@@ -11,8 +11,8 @@
 #include <unordered_map>
 #include <vector>
 
-/// A service on the manual clock, for tests and for health_measure: queues, slots, latency draws and links that
-/// break, around detectors that are the real code. Not shipped.
+/// Simulation of a service on the manual clock, for tests and for health_measure: queues, slots, random latencies and
+/// failing links around the production detectors. Not shipped.
 namespace papayastep::health::synthetic {
 
 struct RouteProfile
@@ -20,7 +20,7 @@
     std::string name;
     double share = 1;
     base::Duration median{};
-    double sigma = 0.6; ///< Of the log-normal latency.
+    double sigma = 0.6; ///< Standard deviation of the logarithm of the log-normal latency.
 };
 
 struct ServiceProfile
@@ -31,11 +31,11 @@
     int zones = 1;
     config::DetectionPreference prefer = config::DetectionPreference::FastDetection;
     double floor = 0.5;
-    double load = 0.45; ///< Share of all slots that is busy on average.
+    double load = 0.45; ///< Average share of busy slots.
     std::vector<RouteProfile> routes;
 };
 
-/// The services of the example fleets: "caribrite" or "tepla-noha".
+/// Returns the services of an example fleet: "caribrite" or "tepla-noha". Throws std::invalid_argument for any other.
 std::vector<ServiceProfile> fleetServices(const std::string &fleet);
 
 enum class Fault {
@@ -44,16 +44,16 @@
     SlowTwice,
     ErrorsOnThird,
     Hang,
-    HalfAlive, ///< The health endpoint is good, all work fails.
+    HalfAlive, ///< The health endpoint reports success, but all requests fail.
     Partial,
-    OneWayTo, ///< Nothing reaches the VM, what it sends arrives.
-    OneWayFrom, ///< All reaches the VM, nothing it sends arrives.
+    OneWayTo, ///< No message reaches the VM, but those that it sends arrive.
+    OneWayFrom, ///< All messages reach the VM, but those that it sends are lost.
     Flapping,
-    Paused, ///< The node beside the server stops for some seconds.
-    Refusing, ///< The backend server is dead: connections are refused.
+    Paused, ///< The node beside the server is paused for some seconds.
+    Refusing, ///< The backend server is dead, and connections are refused.
 };
 
-/// What a server suffers at a time. Several faults of one server add up.
+/// A fault of some servers during a period. Several faults of one server combine.
 struct FaultPlan
 {
     Fault fault = Fault::None;
@@ -62,7 +62,7 @@
     base::Duration end = std::chrono::hours(10);
 };
 
-/// One ejection: for all, by the node beside the server (`by` is `server` then), or by one entry for itself.
+/// One ejection: by the node beside the server for all (`by` equals `server`), or by one entry node for itself.
 struct Ejection
 {
     int by = 0;
@@ -71,7 +71,8 @@
     auto operator<=>(const Ejection &) const = default;
 };
 
-/// The thing that is measured: it hears what happens and says how much work an entry gives a server.
+/// Interface of the measured detectors: they receive the events and return the weight of each server at each entry
+/// node.
 class Detector
 {
 public:
@@ -89,18 +90,18 @@
     virtual void tick(base::TimePoint now) = 0;
     virtual double weight(int entry, int server) = 0;
     virtual int busy(int entry, int server) = 0;
-    /// Ejections of any kind since the last call.
+    /// Returns the ejections of any kind since the last call.
     virtual std::vector<Ejection> takeEjections() = 0;
 };
 
-/// Whether a message from one VM to another arrives now.
+/// Whether a message from one VM to another would arrive now.
 using Link = std::function<bool(int from, int to)>;
 
-/// The real thing: one HealthMonitor for each VM.
+/// The production detector: one HealthMonitor for each VM.
 class MonitorDetector final : public Detector
 {
 public:
-    MonitorDetector(const ServiceProfile &shape, const base::ManualClock &clock, std::uint64_t seed, Link link);
+    MonitorDetector(const ServiceProfile &profile, const base::ManualClock &clock, std::uint64_t seed, Link link);
 
     void started(int server, const AttemptKey &key, const std::string &route) override;
     void finished(int server, const AttemptKey &key, AttemptOutcome outcome, base::Duration latency) override;
@@ -122,9 +123,9 @@
     HealthMonitor &monitor(int vm);
     void setPaused(int vm, bool paused);
     void restart(int vm);
-    /// Every VM takes a new revision, which `change` may alter.
+    /// Applies a new revision of the configuration, which `change` may modify, at every VM that is not paused.
     void publish(const std::function<void(config::Configuration::Parts &)> &change = {});
-    std::vector<HealthEvent> events; ///< All so far, of all monitors.
+    std::vector<HealthEvent> events; ///< All events of all monitors so far.
 
 private:
     void deliver();
@@ -144,25 +145,25 @@
 base::BackendServerId serverId(int index);
 base::VmId vmId(int index);
 
-/// Clients, queues and servers around a detector.
+/// Simulates clients, queues and servers around a detector.
 class Fleet
 {
 public:
     using MakeDetector = std::function<std::unique_ptr<Detector>(const base::ManualClock &clock, Link link)>;
 
-    Fleet(const ServiceProfile &shape, std::uint64_t seed, const MakeDetector &make);
+    Fleet(const ServiceProfile &profile, std::uint64_t seed, const MakeDetector &make);
 
     void addFault(const FaultPlan &plan);
-    /// Called at every tick, for samples and for what a test does meanwhile.
+    /// Called at every tick, for samples and for actions of a test.
     std::function<void(base::Duration elapsed)> onTick;
     void runUntil(base::Duration elapsed);
 
     base::Duration elapsed() const;
     Detector &detector();
     const base::ManualClock &clock() const;
-    /// Share of the other VMs that give the server no work, or only a trial now and then.
+    /// Share of the other VMs that give the server no work or only trial requests.
     double avoidedShare(int server);
-    /// The smallest share of slots in use that any entry sees now, entries with broken links aside.
+    /// The smallest share of usable servers at any entry node now, except for paused ones and those with broken links.
     double smallestCapacity();
     std::uint64_t answered() const;
     std::uint64_t failed() const;
@@ -210,7 +211,7 @@
     void endHop(std::uint64_t id, HopOutcome outcome, bool reached, bool retry);
     int choose(int entry);
     bool active(Fault fault, int server) const;
-    bool inFailurePhase(int server) const; ///< In the bad phase of flapping.
+    bool inFailurePhase(int server) const; ///< Hanging, or in the failing phase of flapping.
     bool delivers(int from, int to) const;
     base::Duration draw(const Hop &hop, AttemptOutcome &outcome);
     void applyPauses();
--- a/src/include/papayastep/health/attempt.h
+++ b/src/include/papayastep/health/attempt.h
@@ -6,10 +6,10 @@
 #include <functional>
 #include <string_view>
 
-/// What a node tells about its attempts: the raw evidence of the package.
+/// Events that a node reports about its attempts. They are the input of all health decisions.
 namespace papayastep::health {
 
-/// Names one attempt of one request, fleet-wide.
+/// Identifies one attempt of one request across the fleet.
 struct AttemptKey
 {
     base::RequestId request;
@@ -18,29 +18,32 @@
     auto operator<=>(const AttemptKey &) const = default;
 };
 
-/// How an attempt at a backend server ended, as the serving node beside it saw it.
+/// How an attempt at a backend server ended, as the serving node beside it observed it.
 enum class AttemptOutcome {
-    Success, ///< A whole answer that is no server error. Its latency counts.
-    Error, ///< A whole answer of class 5xx, other than a shed request.
-    CallFailed, ///< As Error, because a call of the run failed. Says nothing about the server.
-    Partial, ///< The answer broke off.
-    Timeout, ///< No whole answer before the deadline.
-    ConnectionRefused, ///< The backend server took no connection. Load, unless it lasts.
-    Shed, ///< 503: the backend server is busy. Load, unless it lasts.
-    CancelledByUs, ///< Given up for reasons that say nothing about the server.
+    Success, ///< A complete answer without a server error. Only such answers count as latency samples.
+    Error, ///< A complete answer with a 5xx status, other than that of a shed request.
+    CallFailed, ///< An Error that a failed nested call caused. It is no evidence about the server.
+    Partial, ///< The answer ended before it was complete.
+    Timeout, ///< No complete answer arrived before the deadline.
+    ConnectionRefused, ///< The backend server refused the connection. It counts as load unless it lasts.
+    Shed, ///< The backend server answered 503 because it is busy. It counts as load unless it lasts.
+    CancelledByUs, ///< This node cancelled the attempt for a reason that is no evidence about the server.
 };
 
-/// The name of `outcome`, for metric labels.
+/// Returns the name of `outcome` for metric labels.
 std::string_view name(AttemptOutcome outcome);
 
-/// How a hop ended, as the entry saw it.
+/// How a hop ended, as the entry node observed it.
 enum class HopOutcome {
-    Answered, ///< A whole answer of the backend server that is no server error.
-    ServerFailed, ///< Acknowledged, then an error, a broken or no answer of the backend server.
-    Refused, ///< The serving node refused `not-run` (queue full, draining, trial full). Load, not sickness.
-    ConnectionFailed, ///< The serving node could not be connected to, or the connection broke before it acknowledged.
-    GivenUp, ///< No answer in time. Blames the path without an acknowledgement, else the server.
-    CancelledByUs, ///< Given up for reasons that say nothing about path or server.
+    Answered, ///< The backend server gave a complete answer without a server error.
+    ServerFailed, ///< The hop was acknowledged, but the backend server answered with an error, incompletely or not at
+                  ///< all.
+    Refused, ///< The serving node refused it as `not-run` (queue full, draining, trial full). This is load, not a
+             ///< fault.
+    ConnectionFailed, ///< The connection to the serving node failed, or broke before the acknowledgement.
+    GivenUp, ///< No answer arrived in time. It counts against the server after an acknowledgement, else against the
+             ///< path.
+    CancelledByUs, ///< This node cancelled the hop for a reason that is no evidence about path or server.
 };
 
 }
