--- a/src/include/papayastep/health/grayfailureestimator.h
+++ b/src/include/papayastep/health/grayfailureestimator.h
@@ -6,29 +6,30 @@
 
 namespace papayastep::health {
 
+/// Parameters of a GrayFailureEstimator. Rates and thresholds are probabilities from 0 to 1.
 struct GrayFailureEstimatorSettings
 {
-    /// How often a well server answers with an error, and how often its answer breaks off.
+    /// Share of requests to a healthy server that it answers with an error, and share whose answer is incomplete.
     double healthyErrorRate = 0.013;
     double healthyBrokenRate = 0.002;
-    /// How often a server fails in a gray spell, and how often it does so by an error of its own.
+    /// Share of requests that fail during a gray failure, and share that a server then answers with an error itself.
     double grayFailureRate = 0.8;
     double grayErrorRate = 0.3;
-    /// How often a request of a well server, and of one that hangs, is still running after three mean run times. With
-    /// log-normal run times (sigma 0.8) it is 4 % of the well ones.
+    /// Share of requests to a healthy server, and to a hanging one, that still run after three mean run times. With
+    /// log-normal run times (sigma 0.8) this is 4 % at a healthy server.
     double healthyOverdueRate = 0.05;
     double grayOverdueRate = 0.6;
-    /// Between two spells, and in one while little is known of it, on average.
+    /// Mean time between two gray failures, and mean length of one about which little is known yet.
     base::Duration meanHealthyTime = std::chrono::seconds(12);
     base::Duration meanGrayTime = std::chrono::seconds(3);
 
-    /// Above it a server gets no work but scouts: a request is more likely to fail there than not.
+    /// Probability above which a server gets only trial requests, as any request is more likely to fail than not.
     double holdThreshold = 0.5;
-    /// Down to it only one request at a time shows how the server is.
+    /// Probability above which a server gets only one trial request at a time.
     double trialThreshold = 0.3;
-    /// After the last news of a server that is held back, until the next scout.
+    /// Time from the last evidence about a held server until its next trial request.
     base::Duration trialInterval = std::chrono::seconds(1);
-    /// No evidence makes a spell likelier, so that a few answers show its end.
+    /// Upper bound of the probability after evidence, so that a few answers suffice to detect the end of a failure.
     double maxProbability = 0.9;
 
     auto operator<=>(const GrayFailureEstimatorSettings &) const = default;
@@ -37,17 +38,17 @@
 /// How a run ended.
 enum class RunEnd {
     Answered,
-    Error, ///< A whole answer that says that the server failed.
-    Broken, ///< No whole answer.
+    Error, ///< A complete answer that reports a failure of the server.
+    Broken, ///< No complete answer.
 };
 
-/// How likely it is that a backend server is in a spell of gray failure, by the outcomes of its requests and the time
-/// since: a hidden Markov model of two states.
+/// Estimates the probability that a backend server is in a gray failure from the outcomes of its requests and the time
+/// since, with a hidden Markov model of two states.
 ///
-/// Servers fail most of their requests for a few seconds while their health endpoint says that all is well, and a
-/// failed refund cannot be repeated. A test that waits until the evidence is beyond doubt sees some ten refunds fail in
-/// each spell. Here the first answer that breaks off holds the server back, and what ends the hold are answers to
-/// scouts: requests that may fail, since they can be repeated.
+/// In a gray failure a server fails most of its requests for a few seconds while its health endpoint reports success,
+/// and a failed refund cannot be repeated. A test that waits for conclusive evidence would let some ten refunds fail in
+/// each failure. Here the first incomplete answer holds the server, and only answers to trial requests end the hold.
+/// Trial requests are idempotent, so one that fails can be repeated elsewhere.
 class GrayFailureEstimator
 {
 public:
@@ -55,26 +56,26 @@
 
     void recordEnd(RunEnd end, base::TimePoint now);
 
-    /// A request has run for several times the usual without an end.
+    /// Records that a request has run for several times the usual run time without an end.
     void recordOverdue(base::TimePoint now);
 
-    /// Takes over what another filter found.
+    /// Replaces the estimate by one that another estimator made.
     void setProbability(double probability, base::TimePoint now);
 
-    /// Probability of a spell, 0 to 1. Without news it drifts to the share of time that spells take; the longer the
-    /// spell has lasted, the more slowly.
+    /// Probability of a gray failure, 0 to 1. Without new evidence it decays towards the share of time that gray
+    /// failures take; the longer the failure has lasted, the more slowly.
     double grayProbability(base::TimePoint now) const;
 
     bool isHeld(base::TimePoint now) const;
 
-    /// Whether a request may go to the server now. `scouted`: one that shows how the server is is on its way there.
-    bool admits(bool idempotent, bool scouted, base::TimePoint now) const;
+    /// Whether a request may go to the server now. `trialInFlight` says whether a trial request is already under way.
+    bool admits(bool idempotent, bool trialInFlight, base::TimePoint now) const;
 
-    /// Whether a request that goes to the server now is a scout.
+    /// Whether a request that goes to the server now is a trial request.
     bool needsTrial(base::TimePoint now) const;
 
 private:
-    void applyEvidence(double ifGray, double ifWell, base::TimePoint now);
+    void applyEvidence(double likelihoodIfGray, double likelihoodIfHealthy, base::TimePoint now);
     void updateEpisode(base::TimePoint now);
     base::Duration expectedGrayTime() const;
 
--- a/src/include/papayastep/health/grayfailuretable.h
+++ b/src/include/papayastep/health/grayfailuretable.h
@@ -7,8 +7,8 @@
 
 namespace papayastep::health {
 
-/// What an entry was told about gray spells of backend servers, by the nodes beside them. What was told long ago drifts
-/// to the usual, as the filter of the teller does.
+/// Gray failure probabilities of backend servers that the nodes beside them have reported to an entry node. They decay
+/// over time as those of the reporting node's GrayFailureEstimator do.
 class GrayFailureTable
 {
 public:
@@ -16,10 +16,10 @@
 
     void update(const base::BackendServerId &server, double probability);
 
-    /// Probability of a spell; 0 for a server that was never heard of, so that a new one is not shunned.
+    /// Probability of a gray failure, 0 to 1. It is 0 without a report, so that a new server is not avoided.
     double probability(const base::BackendServerId &server) const;
 
-    /// Forgets servers that were not heard of for minutes.
+    /// Removes servers without a report for two minutes.
     void expire();
 
 private:
--- a/src/include/papayastep/health/healthmonitor.h
+++ b/src/include/papayastep/health/healthmonitor.h
@@ -15,7 +15,7 @@
 
 namespace papayastep::health {
 
-/// The node that a monitor works for.
+/// Identity of the node that a HealthMonitor works for.
 struct NodeIdentity
 {
     base::VmId vm;
@@ -24,11 +24,13 @@
     auto operator<=>(const NodeIdentity &) const = default;
 };
 
-/// All of the health decisions of one node: about its own backend servers (evidence beside the server), about
-/// servers elsewhere (what siblings and answers tell, and what this entry sees), and about the paths to them.
+/// Makes all health decisions of one node: about its own backend servers (from evidence beside the server), about
+/// servers elsewhere (from reports of siblings and answers, and from the hops of this entry node), and about the paths
+/// to them.
 ///
-/// Takes events, answers with views, events and messages. Not thread-safe; opens nothing, reads only `clock`.
-/// Every method first checks whether the process was paused, so the order of calls after a pause does not matter.
+/// It takes events and returns views, events and messages. It is not thread-safe, does no input or output, and reads
+/// only `clock`. Every method first checks whether the process was paused, so the order of calls after a pause does not
+/// matter.
 class HealthMonitor
 {
 public:
@@ -40,55 +42,57 @@
     HealthMonitor(const HealthMonitor &) = delete;
     HealthMonitor &operator=(const HealthMonitor &) = delete;
 
-    /// Evidence about servers that stay is kept; new servers start warming.
+    /// Keeps the evidence about servers that remain configured. New servers start in the state Warming.
     void applyConfiguration(const config::ConfigurationPtr &configuration);
-    /// The list lags: it only adds leaving VMs, it never brings back one that said itself that it leaves.
+    /// The list lags behind, so it only adds leaving VMs. It never restores a VM that has announced that it leaves.
     void applyVmList(const config::VmList &list);
-    /// `vm` gets no new work from now on. For the own VM, the siblings are told at once.
+    /// Gives `vm` no new work from now on. If it is the own VM, the siblings are notified at once.
     void setLeaving(const base::VmId &vm);
 
-    // Evidence of the serving node about its own backend servers. Others are ignored.
+    // Evidence of the serving node about its own backend servers. Events about other servers are ignored.
 
-    /// Whether an attempt may go to the backend server now. Ask once before each attemptStarted().
+    /// Whether an attempt may go to the backend server now. Call it once before each attemptStarted().
     Admission admission(const base::BackendServerId &server) const;
     void attemptStarted(const base::BackendServerId &server, const AttemptKey &key, const base::RouteId &route = {});
-    /// `latency` from the first byte sent to the last byte received.
+    /// `latency` is the time from the first byte sent to the last byte received.
     void attemptFinished(const base::BackendServerId &server,
                          const AttemptKey &key,
                          AttemptOutcome outcome,
                          base::Duration latency);
-    /// Requests that wait for a slot at this node.
+    /// Sets the number of requests that wait for a slot at this node.
     void setQueueLength(const base::BackendServerId &server, int length);
-    /// What the health endpoint said. A hint: shortens the way to an ejection a little, never ejects or returns.
+    /// Records the result of a health endpoint probe. A failed probe lowers the evidence that an ejection needs a
+    /// little; probes alone never eject or return a server.
     void probeFinished(const base::BackendServerId &server, bool good);
 
-    // Evidence of the entry about its hops. An attempt at the own VM needs none of these.
+    // Evidence of the entry node about its hops. An attempt at the own VM needs none of these calls.
 
     void hopSent(const base::VmId &vm, const base::BackendServerId &server, const AttemptKey &key);
     void hopAcknowledged(const base::VmId &vm, const AttemptKey &key);
-    /// The last word about a hop. `latency` since hopSent().
+    /// Records the end of a hop. `latency` is the time since hopSent().
     void hopEnded(const base::VmId &vm, const AttemptKey &key, HopOutcome outcome, base::Duration latency);
 
-    /// The report to put on the answer of a hop.
+    /// The report to attach to the answer of a hop.
     ServerReport report(const base::BackendServerId &server) const;
-    /// A report that came with an answer of `from`.
+    /// Applies a report that arrived with an answer of `from`.
     void applyReport(const base::VmId &from, const ServerReport &report);
 
-    /// A message of the range of this package; malformed, late and foreign ones are counted and ignored.
+    /// Handles a health message. Malformed and late messages, and those of VMs that are no siblings, are counted and
+    /// ignored.
     void receive(const base::VmId &from,
                  base::Incarnation incarnation,
                  wire::MessageKind kind,
                  std::string_view payload);
     std::vector<wire::Outgoing> takeMessages();
 
-    /// Does what is due. Call it at nextTick() at the latest; earlier does no harm.
+    /// Does the periodic work. Call it at nextTick() at the latest; calling it earlier is harmless.
     void tick();
     base::TimePoint nextTick() const;
 
     ServerView view(const base::BackendServerId &server) const;
-    /// The median of what the servers of `service` take, as their nodes tell; 0: not known.
+    /// The median of the latencies that the nodes of the servers of `service` report; 0 if it is not known.
     base::Duration usualLatency(const base::ServiceId &service) const;
-    /// Servers of this VM whose health endpoint is worth asking now, because no traffic tells.
+    /// Servers of this VM whose health endpoint is to be probed now, because there is no traffic to observe.
     std::vector<base::BackendServerId> serversToProbe() const;
     std::vector<HealthEvent> takeEvents();
     const HealthCounters &counters() const;
--- a/src/include/papayastep/health/nestedcalltracker.h
+++ b/src/include/papayastep/health/nestedcalltracker.h
@@ -8,28 +8,29 @@
 
 namespace papayastep::health {
 
-/// Tells calls that backend servers of this VM make in their runs from requests of callers, and whether a run failed
-/// because a call of it did.
+/// Distinguishes nested calls, which backend servers of this VM make while they run a request, from requests of
+/// callers, and detects whether a run failed because one of its nested calls did.
 ///
-/// A backend server sends its calls to the node of its own VM, as callers send their requests. Nothing names the run
-/// that a call belongs to, but a call ends with its run at the latest, and a run whose call failed ends at once.
+/// A backend server sends its nested calls to the node of its own VM, as callers send their requests. Nothing
+/// identifies the run that a nested call belongs to, but the call's deadline is not later than that of its run, and a
+/// run whose nested call failed ends at once.
 class NestedCallTracker
 {
 public:
     explicit NestedCallTracker(const base::Clock &clock);
 
-    /// `deadline` as the backend server was told.
+    /// `deadline` is the one that was sent to the backend server.
     void runStarted(const AttemptKey &run, base::TimePoint deadline);
     void runEnded(const AttemptKey &run);
 
-    /// Whether a request with this deadline may be a call of a run that is at work.
+    /// Whether a request with this deadline may be a nested call of a current run.
     bool mayBeNestedCall(base::TimePoint deadline) const;
 
-    /// A request with this deadline, which may be a call, got no answer or a failure.
+    /// Records that a request with this deadline, which may be a nested call, failed or got no answer.
     void callFailed(base::TimePoint deadline);
 
-    /// Whether the failure with which `run` ends now follows from a failed call. Each failed call explains the end of
-    /// one run.
+    /// Whether a failed nested call caused the failure with which `run` ends now. Each failed call explains the failure
+    /// of one run only.
     bool explainsFailure(const AttemptKey &run);
 
 private:
--- a/src/include/papayastep/health/serverhold.h
+++ b/src/include/papayastep/health/serverhold.h
@@ -7,15 +7,15 @@
 
 namespace papayastep::health {
 
-/// What a piece of evidence changed about a server.
+/// Change of a ServerHold by one piece of evidence.
 enum class HoldChange {
     None,
-    Held, ///< It is held back from now on.
-    Returned, ///< It answered for the first time since it was held back.
+    Held, ///< The server is held from now on.
+    Returned, ///< The server answered for the first time since it was held.
 };
 
-/// Holds one backend server back while it seems to be in a spell of gray failure, and lets scouts through that show
-/// when the spell is over.
+/// Withholds requests from one backend server while it is probably in a gray failure, and admits trial requests to
+/// detect the end of the failure.
 class ServerHold
 {
 public:
@@ -24,15 +24,15 @@
     /// Whether an attempt may be given to the server now.
     bool admits(bool idempotent, base::TimePoint now) const;
 
-    /// The first attempt that starts while the server is in doubt is its scout.
+    /// The first attempt that starts above the trial threshold becomes the trial request.
     void started(const AttemptKey &attempt, base::TimePoint now);
     HoldChange ended(const AttemptKey &attempt, AttemptOutcome outcome, base::TimePoint now);
-    /// An attempt has run for several times the usual.
+    /// Records that an attempt has run for several times the usual run time.
     HoldChange recordOverdue(base::TimePoint now);
 
-    /// How likely the server is in a spell, 0 to 1.
+    /// Probability of a gray failure, 0 to 1.
     double grayProbability(base::TimePoint now) const;
-    /// Was found gray, and has not answered since.
+    /// Whether the server was held and has not answered since.
     bool isHeldBack() const;
 
 private:
--- a/src/include/papayastep/health/serverview.h
+++ b/src/include/papayastep/health/serverview.h
@@ -8,36 +8,36 @@
 #include <string>
 #include <vector>
 
-/// What the package answers with: views for placement, events for logs, counters for metrics.
+/// Results of the health decisions: views for placement, events for logs, counters for metrics.
 namespace papayastep::health {
 
 /// Whether a backend server may be given work.
 enum class Availability {
     Usable,
-    Trial, ///< Only now and then (its weight says how seldom), and better nothing that can't be retried.
+    Trial, ///< Only a few requests according to the weight, preferably such that can be retried.
     Ejected,
     Draining,
-    Gone, ///< Its VM leaves, or it is not configured.
+    Gone, ///< Its VM is leaving, or it is not configured.
 };
 
-/// The way from this VM to the VM of a backend server.
+/// State of the network path from this VM to the VM of a backend server.
 enum class PathState {
     Good,
-    Trial, ///< Was broken; the next hop tells.
+    Trial, ///< It was broken, and the next hop tests it.
     Broken,
 };
 
-/// What this node believes about one backend server.
+/// This node's estimate of the state of one backend server.
 struct ServerView
 {
     Availability availability = Availability::Usable;
     PathState path = PathState::Good;
-    double weight = 1; ///< 0..1, how much work it should get beside its siblings. Already 0 where it must get none.
-    int slotsInUse = 0; ///< Bounded by what this node itself has in flight there and by the configured slots.
+    double weight = 1; ///< Share of work relative to its siblings, 0 to 1; 0 if it must get no work.
+    int slotsInUse = 0; ///< At least this node's own attempts in flight there, at most the configured slots.
     int queueLength = 0;
-    base::Duration latency{}; ///< Recent median of a whole answer; 0: not known.
-    std::optional<base::Duration> age; ///< Since the last news; none: never heard of.
-    bool spread = false; ///< All servers of the service look bad, so work is spread over all of them.
+    base::Duration latency{}; ///< Recent median time to a complete answer; 0 if not known.
+    std::optional<base::Duration> age; ///< Time since the last report; empty if there was none.
+    bool spread = false; ///< Whether work is spread over all servers because all of the service look unhealthy.
     std::string reason; ///< One short sentence.
 
     bool usable() const
@@ -48,10 +48,10 @@
     auto operator<=>(const ServerView &) const = default;
 };
 
-/// Whether the serving node lets an attempt reach its own backend server now.
+/// Whether the serving node admits an attempt to its own backend server now.
 enum class Admission {
     Admit,
-    TrialFull, ///< In trial, and enough attempts are in flight.
+    TrialFull, ///< The server is in trial and has its maximum of attempts in flight.
     Ejected,
     Draining,
     Unknown, ///< Not a backend server of this VM.
@@ -63,34 +63,34 @@
     Trial,
     TrialFailed,
     Returned,
-    FloorHeld, ///< Sick, but the floor keeps it in use.
-    Readmitted, ///< Was ejected; the floor needs it back.
+    FloorHeld, ///< It is unhealthy, but the floor keeps it in use.
+    Readmitted, ///< It was ejected, but the floor requires it in use.
     Draining,
     Gone,
     PathEjected,
     PathTrial,
     PathReturned,
-    EntryEjected, ///< This entry alone avoids the server: what it saw contradicts what it is told.
+    EntryEjected, ///< Only this entry node avoids the server, because its own hops contradict the reports.
     EntryReturned,
     SiblingUnreachable,
     WokeFromPause,
 };
 
-/// One decision, for the log and for `papayastep status`.
+/// One health decision, for the log and for `papayastep status`.
 struct HealthEvent
 {
     HealthEventKind kind = HealthEventKind::Suspected;
-    base::BackendServerId server; ///< Empty for events of a whole VM.
+    base::BackendServerId server; ///< Empty if the event concerns a whole VM.
     base::VmId vm;
     std::string description;
 
     auto operator<=>(const HealthEvent &) const = default;
 };
 
-/// The name of `kind`, for logs and metric labels.
+/// Returns the name of `kind` for logs and metric labels.
 std::string_view name(HealthEventKind kind);
 
-/// Totals since the start of the process.
+/// Totals since the process started.
 struct HealthCounters
 {
     std::uint64_t ejections = 0;
@@ -103,8 +103,8 @@
     std::uint64_t entryEjections = 0;
     std::uint64_t pauses = 0;
     std::uint64_t messagesSent = 0;
-    std::uint64_t bytesSent = 0; ///< Payload only.
-    std::uint64_t messagesIgnored = 0; ///< Malformed, out of date, or from no sibling.
+    std::uint64_t bytesSent = 0; ///< Payload without envelope and transport.
+    std::uint64_t messagesIgnored = 0; ///< Malformed or late messages, and those of VMs that are no siblings.
 
     auto operator<=>(const HealthCounters &) const = default;
 };
