--- a/src/limits/zonetenure.cpp
+++ b/src/limits/zonetenure.cpp
@@ -293,8 +293,9 @@
         const bool noOtherHolder = othersSuffice && m_round.unchangedFor >= timeSinceReset + takeoverDelay();
         m_heldSince
             = noOtherHolder ? m_resetAt + surelyExpired(m_settings, m_settings.grantValidity) : now + takeoverDelay();
-        PAPAYASTEP_LOG(INFO, "limits") << "Became ready to hold shares." << base::field("vm", m_self.vm)
-                                       << base::field("list", m_version) << base::field("guarded", !noOtherHolder);
+        PAPAYASTEP_LOG(INFO, "limits") << "Witnesses confirmed this VM as a holder of shares."
+                                       << base::field("vm", m_self.vm) << base::field("list", m_version)
+                                       << base::field("guarded", !noOtherHolder);
     } else if (m_lapsed && m_proven) {
         // No other VM can have held the shares if the witnesses saw no change since well before the last proof.
         const bool noOtherHolder = othersSuffice && m_round.unchangedFor >= now - m_provenAt + takeoverDelay();
