--- a/src/routing/idempotencyledger.cpp
+++ b/src/routing/idempotencyledger.cpp
@@ -50,7 +50,7 @@
 RecordState checkedState(std::uint8_t state)
 {
     if (state > static_cast<std::uint8_t>(RecordState::Released)) {
-        throw base::Error(base::ResultCode::MessageMalformed, "the state of a ledger record is unknown");
+        throw base::Error(base::ResultCode::MessageMalformed, "a ledger record has an invalid state");
     }
     return static_cast<RecordState>(state);
 }
--- a/src/routing/ledgerclient.cpp
+++ b/src/routing/ledgerclient.cpp
@@ -12,7 +12,7 @@
 Enum checked(std::uint8_t value, Enum greatest)
 {
     if (value > static_cast<std::uint8_t>(greatest)) {
-        throw base::Error(base::ResultCode::MessageMalformed, "the answer to a ledger claim has an unknown value");
+        throw base::Error(base::ResultCode::MessageMalformed, "the answer to a ledger claim has an invalid value");
     }
     return static_cast<Enum>(value);
 }
