--- a/src/health/entryevidence.cpp
+++ b/src/health/entryevidence.cpp
@@ -8,13 +8,13 @@
 
 constexpr double failureWeight = 0.05; ///< Weight of one hop in the moving average of failures.
 constexpr double scoreCap = 40;
-constexpr double silentMultiple = 20; ///< A hop without an answer for so many usual latencies counts as unanswered.
-constexpr double silenceEvidence = 3;
+constexpr double unansweredMultiple = 20; ///< A hop without an answer for so many usual latencies counts as unanswered.
+constexpr double unansweredEvidence = 3;
 constexpr int probationAnswers = 5;
 constexpr int maxAvoidances = 6;
 constexpr double probationEvidence = 4;
-const base::Duration shortestSilence = std::chrono::milliseconds(500);
-const base::Duration defaultSilence = std::chrono::seconds(5);
+const base::Duration minUnansweredTime = std::chrono::milliseconds(500);
+const base::Duration defaultUnansweredTime = std::chrono::seconds(5);
 
 }
 
@@ -66,14 +66,15 @@
 
 double EntryEvidence::score(base::TimePoint now, base::Duration usualLatency) const
 {
-    base::Duration limit = defaultSilence;
+    base::Duration limit = defaultUnansweredTime;
     if (usualLatency > base::Duration::zero()) {
-        limit = std::max(shortestSilence, std::chrono::duration_cast<base::Duration>(usualLatency * silentMultiple));
+        limit = std::max(minUnansweredTime,
+                         std::chrono::duration_cast<base::Duration>(usualLatency * unansweredMultiple));
     }
-    const auto silent = std::count_if(m_hops.begin(), m_hops.end(), [&](const auto &entry) {
+    const auto unanswered = std::count_if(m_hops.begin(), m_hops.end(), [&](const auto &entry) {
         return entry.second.acknowledged && now - entry.second.startedAt >= limit;
     });
-    return m_test.score() + static_cast<double>(silent) * silenceEvidence;
+    return m_test.score() + static_cast<double>(unanswered) * unansweredEvidence;
 }
 
 std::optional<HealthEventKind> EntryEvidence::advance(base::TimePoint now,
--- a/src/health/localserver.cpp
+++ b/src/health/localserver.cpp
@@ -264,9 +264,9 @@
     return status;
 }
 
-HealthEvent LocalServer::event(HealthEventKind kind, const std::string &sentence) const
+HealthEvent LocalServer::event(HealthEventKind kind, const std::string &description) const
 {
-    return HealthEvent{kind, m_configured.id, m_configured.vm, sentence};
+    return HealthEvent{kind, m_configured.id, m_configured.vm, description};
 }
 
 }
--- a/src/health/localserver.h
+++ b/src/health/localserver.h
@@ -50,7 +50,7 @@
     base::Duration latency(base::Duration usual, base::TimePoint now) const;
 
 private:
-    HealthEvent event(HealthEventKind kind, const std::string &sentence) const;
+    HealthEvent event(HealthEventKind kind, const std::string &description) const;
     std::optional<HealthEvent> advanceLifecycle(base::TimePoint now);
     std::optional<HealthEvent> evaluateTrial(base::TimePoint now, const ServiceReference &usual);
     std::optional<HealthEvent> updateSuspicion(base::TimePoint now, const ServiceReference &usual);
--- a/src/include/papayastep/health/healthsettings.h
+++ b/src/include/papayastep/health/healthsettings.h
@@ -30,7 +30,7 @@
     int trialSlots = 1; ///< Maximum number of attempts in flight in the state Trial.
     double trialWeight = 0.05; ///< Share of work in the state Trial.
     base::Duration warmingTime = std::chrono::seconds(10); ///< Length of the slow start of a cold server.
-    double warmingStartWeight = 0.1; ///< Share of work at the begin of the slow start.
+    double warmingStartWeight = 0.1; ///< Share of work at the beginning of the slow start.
     double floorWeight = 0.3; ///< Share of work of an unhealthy server that the floor keeps in use.
     /// A server that refuses all connections for so long is dead.
     base::Duration refusalLimit = std::chrono::seconds(1);
