--- a/src/base/logoutput.cpp
+++ b/src/base/logoutput.cpp
@@ -63,8 +63,8 @@
     m_updated = now;
     m_level = std::min(m_limits.burstBytes, m_level + std::max(0.0, elapsed) * m_limits.bytesPerSecond);
     const double kept = severity >= google::GLOG_ERROR ? 0
-        : severity == google::GLOG_WARNING             ? m_limits.keptForErrors
-                                                       : m_limits.keptForWarnings;
+        : severity == google::GLOG_WARNING             ? m_limits.reservedForErrors
+                                                       : m_limits.reservedForWarnings;
     if (m_level - static_cast<double>(bytes) < kept * m_limits.burstBytes) {
         return false;
     }
@@ -117,7 +117,7 @@
 void LogOutput::flush()
 {
     const std::lock_guard lock(m_mutex);
-    tellDropped();
+    logDropped();
     writeReady();
 }
 
@@ -144,16 +144,16 @@
     m_buffer += line;
 }
 
-void LogOutput::tellDropped()
+void LogOutput::logDropped()
 {
-    const std::uint64_t untold = m_counters.dropped - m_told;
+    const std::uint64_t untold = m_counters.dropped - m_reportedDropped;
     // Only once the reader follows again: until then the sentence itself would take the room of other lines.
     const TimePoint now = m_clock.now();
-    if (untold == 0 || m_broken || m_buffer.size() >= flushFrom || now < m_tellAgain) {
+    if (untold == 0 || m_broken || m_buffer.size() >= flushFrom || now < m_nextReport) {
         return;
     }
-    m_told = m_counters.dropped;
-    m_tellAgain = now + tellEvery;
+    m_reportedDropped = m_counters.dropped;
+    m_nextReport = now + tellEvery;
     add(google::GLOG_ERROR, "log: Dropped lines. count=" + std::to_string(untold));
 }
 
--- a/src/base/logoutput_test.cpp
+++ b/src/base/logoutput_test.cpp
@@ -112,7 +112,7 @@
     LogLimits limits;
     limits.burstBytes = 1000;
     limits.bytesPerSecond = 100;
-    limits.keptForWarnings = 0;
+    limits.reservedForWarnings = 0;
     LogBudget budget(limits, clock.now());
     BOOST_TEST(budget.take(google::GLOG_INFO, 1000, clock.now()));
     BOOST_TEST(!budget.take(google::GLOG_INFO, 100, clock.now()));
--- a/src/fuzz/targets.cpp
+++ b/src/fuzz/targets.cpp
@@ -9,7 +9,7 @@
 #include "papayastep/net/rawheader.h"
 #include "papayastep/wire/hop.h"
 #include "papayastep/wire/seal.h"
-#include "papayastep/wire/slotask.h"
+#include "papayastep/wire/slotquery.h"
 
 #include <sodium.h>
 
@@ -70,7 +70,7 @@
     decodeEach<membership::VmListUpdate, membership::VmLeaving>(payload);
     decodeEach<wire::CancelAttempt, wire::CancelResult>(payload);
     decodeEach<membership::DirectoryNews>(payload);
-    decodeEach<wire::SlotAsk, wire::SlotOffer>(payload);
+    decodeEach<wire::SlotQuery, wire::SlotOffer>(payload);
 }
 
 }
--- a/src/include/papayastep/base/logoutput.h
+++ b/src/include/papayastep/base/logoutput.h
@@ -24,8 +24,8 @@
     double burstBytes = 256 * 1024;
     /// Parts of the burst that are kept back for warnings and for errors, so that a flood of routine lines can't
     /// displace the line that says why a request failed.
-    double keptForWarnings = 0.5;
-    double keptForErrors = 0.125;
+    double reservedForWarnings = 0.5;
+    double reservedForErrors = 0.125;
 
     auto operator<=>(const LogLimits &) const = default;
 };
@@ -86,7 +86,7 @@
 
 private:
     void add(google::LogSeverity severity, std::string_view message);
-    void tellDropped();
+    void logDropped();
     void writeReady();
 
     const int m_descriptor;
@@ -96,8 +96,8 @@
     LogBudget m_budget;
     std::string m_buffer;
     Counters m_counters;
-    std::uint64_t m_told = 0; ///< Of the dropped lines.
-    TimePoint m_tellAgain{};
+    std::uint64_t m_reportedDropped = 0; ///< Of the dropped lines.
+    TimePoint m_nextReport{};
     bool m_installed = false;
     bool m_broken = false; ///< The reader has gone.
 };
--- a/src/include/papayastep/net/callbook.h
+++ b/src/include/papayastep/net/callstatistics.h
@@ -23,16 +23,16 @@
 struct CallTotal
 {
     std::uint64_t calls = 0;
-    base::Duration took{};
+    base::Duration totalDuration{};
 
     auto operator<=>(const CallTotal &) const = default;
 };
 
 /// Counts the calls of an outside service where they are made, so that what was answered from a copy does not count.
-class CallBook
+class CallStatistics
 {
 public:
-    void note(std::string_view call, base::ResultCode answer, base::Duration took);
+    void record(std::string_view call, base::ResultCode answer, base::Duration took);
 
     const std::map<CallKind, CallTotal> &totals() const;
 
--- a/src/include/papayastep/net/httpclient.h
+++ b/src/include/papayastep/net/httpclient.h
@@ -100,7 +100,7 @@
         base::Duration connectTimeout = std::chrono::milliseconds(500);
         /// A connection whose other end went away without a word counts as broken after it. Without that, a request on
         /// it hangs until its deadline; three round trips and some scheduling fit in many times over.
-        base::Duration silenceTimeout = std::chrono::seconds(2);
+        base::Duration deadPeerTimeout = std::chrono::seconds(2);
     };
 
     HttpPool(asio::io_context &context, const base::Clock &clock, Limits limits);
--- a/src/include/papayastep/net/httpserver.h
+++ b/src/include/papayastep/net/httpserver.h
@@ -96,7 +96,7 @@
     using ConnectionSet = std::set<ServerConnection *>;
     Awaitable<void> acceptLoop();
     Awaitable<void> waitForConnection();
-    bool takeOrRefuse(tcp::socket &socket);
+    bool acceptOrRefuse(tcp::socket &socket);
     Awaitable<void> pauseAfterFailure();
     void noteRefusal(std::string_view cause);
 
--- a/src/include/papayastep/net/platformclient.h
+++ b/src/include/papayastep/net/platformclient.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "papayastep/config/configuration.h"
-#include "papayastep/net/callbook.h"
+#include "papayastep/net/callstatistics.h"
 #include "papayastep/net/httpclient.h"
 #include "papayastep/net/platformanswers.h"
 
@@ -33,7 +33,7 @@
     HttpPlatformClient(asio::io_context &context,
                        const base::Clock &clock,
                        std::vector<Endpoint> endpoints,
-                       std::shared_ptr<CallBook> calls);
+                       std::shared_ptr<CallStatistics> calls);
 
     Awaitable<std::optional<PublishedIndex>> configuration(base::Revision after, std::chrono::seconds wait) override;
     Awaitable<std::string> file(const PublishedFile &file) override;
@@ -46,7 +46,7 @@
     const base::Clock &m_clock;
     HttpPool m_pool;
     std::vector<Endpoint> m_endpoints;
-    std::shared_ptr<CallBook> m_calls;
+    std::shared_ptr<CallStatistics> m_calls;
     std::size_t m_next = 0;
 };
 
--- a/src/include/papayastep/net/sparedescriptor.h
+++ b/src/include/papayastep/net/sparedescriptor.h
@@ -14,9 +14,9 @@
     SpareDescriptor(const SpareDescriptor &) = delete;
     SpareDescriptor &operator=(const SpareDescriptor &) = delete;
 
-    void giveUp();
+    void release();
     /// Returns whether there is a spare one again.
-    bool takeBack();
+    bool reacquire();
 
 private:
     int m_descriptor = -1;
--- a/src/include/papayastep/net/task.h
+++ b/src/include/papayastep/net/task.h
@@ -19,7 +19,7 @@
 
     explicit TaskFaults(asio::execution_context &context);
 
-    void note(const char *task, const std::exception_ptr &failure) noexcept;
+    void record(const char *task, const std::exception_ptr &failure) noexcept;
     std::uint64_t count() const;
 
 private:
@@ -42,14 +42,14 @@
 {
     asio::co_spawn(context, std::move(body), [&context, task](const std::exception_ptr &failure) {
         if (failure) {
-            taskFaults(context).note(task, failure);
+            taskFaults(context).record(task, failure);
         }
     });
 }
 
 /// Runs an endless `body` beside its caller, and anew after a pause each time it throws. So it must keep its state
 /// elsewhere. A body that returns is done.
-void spawnDuty(asio::io_context &context, const char *task, std::function<Awaitable<void>()> body);
+void spawnRestartingTask(asio::io_context &context, const char *task, std::function<Awaitable<void>()> body);
 
 /// Runs one of several steps that must not keep each other from running.
 template<typename Step>
@@ -58,7 +58,7 @@
     try {
         step();
     } catch (...) {
-        taskFaults(context).note(task, std::current_exception());
+        taskFaults(context).record(task, std::current_exception());
     }
 }
 
--- a/src/include/papayastep/node/interfaces.h
+++ b/src/include/papayastep/node/interfaces.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "papayastep/net/callbook.h"
+#include "papayastep/net/callstatistics.h"
 #include "papayastep/net/platformclient.h"
 #include "papayastep/net/serversource.h"
 #include "papayastep/node/backendprotocol.h"
@@ -16,7 +16,7 @@
 {
     std::unique_ptr<CallerProtocol> callers;
     std::unique_ptr<BackendProtocol> backends;
-    std::shared_ptr<net::CallBook> platformCalls = std::make_shared<net::CallBook>();
+    std::shared_ptr<net::CallStatistics> platformCalls = std::make_shared<net::CallStatistics>();
     std::shared_ptr<net::PlatformClient> platform;
     std::shared_ptr<net::ServerSource> servers; ///< Null if the configuration lists the backend servers.
 };
--- a/src/include/papayastep/node/servingnode.h
+++ b/src/include/papayastep/node/servingnode.h
@@ -9,7 +9,7 @@
 #include "papayastep/node/nodecontext.h"
 #include "papayastep/node/servedanswer.h"
 #include "papayastep/routing/attemptregistry.h"
-#include "papayastep/wire/slotask.h"
+#include "papayastep/wire/slotquery.h"
 
 #include <map>
 #include <memory>
@@ -52,7 +52,7 @@
                                        std::function<void()> onHangSuspected);
 
     /// Returns an estimate of how a request would be handled by a backend server of this VM now. It reserves no slot.
-    wire::SlotOffer offerFor(const wire::SlotAsk &ask);
+    wire::SlotOffer offerFor(const wire::SlotQuery &ask);
 
     /// Handles the cancel request of an entry. The attempt may not have arrived yet.
     routing::CancelAnswer cancel(const wire::CancelAttempt &cancel, const routing::SentStamp &stamp);
--- a/src/include/papayastep/wire/hop.h
+++ b/src/include/papayastep/wire/hop.h
@@ -30,9 +30,9 @@
     base::ServiceId callerService; ///< Of the VM where the request entered; empty: not known.
     std::string callerId; ///< The caller's own name for the request, for the logs of both sides; may be empty.
     std::uint8_t priority = 0; ///< 0 is the most urgent.
-    std::int64_t wantedIn = 0; ///< Nanoseconds after which an answer is worth less, as `remaining`; 0: not stated.
+    std::int64_t remainingTarget = 0; ///< Nanoseconds after which an answer is worth less, like `remaining`; 0: none.
     bool lastResort = false; ///< All servers were found ejected, so this one is to try whatever it thinks of itself.
-    bool isCall = false; ///< Made by a backend server beside the entry in a run that is at work.
+    bool isNestedCall = false; ///< Made by a backend server beside the entry in a run that is at work.
 
     base::RequestId requestId() const
     {
@@ -40,7 +40,7 @@
     }
 
     /// The name under which both nodes log the request.
-    std::string shownId() const
+    std::string logId() const
     {
         return callerId.empty() ? toString(requestId()) : callerId;
     }
@@ -63,9 +63,9 @@
                    callerService,
                    callerId,
                    priority,
-                   wantedIn,
+                   remainingTarget,
                    lastResort,
-                   isCall)
+                   isNestedCall)
 };
 
 /// How an attempt ended, as the serving node knows it.
--- a/src/include/papayastep/wire/message.h
+++ b/src/include/papayastep/wire/message.h
@@ -41,7 +41,7 @@
     // 40-49: attempts
     CancelAttempt = 40,
     CancelResult = 41,
-    SlotAsk = 42,
+    SlotQuery = 42,
     SlotOffer = 43,
     // 50-59: idempotency ledger
     LedgerClaim = 50,
@@ -78,7 +78,7 @@
 
 /// Five bytes can announce an array of four billion fields, for which the library takes the memory before it reads
 /// on: the node would die of it. No true message has more fields than bytes.
-inline msgpack::unpack_limit limitsFor(std::size_t bytes)
+inline msgpack::unpack_limit unpackLimits(std::size_t bytes)
 {
     return msgpack::unpack_limit(bytes, bytes, bytes, bytes, bytes, maxMessageDepth);
 }
@@ -88,7 +88,7 @@
 Value decode(std::string_view bytes)
 {
     try {
-        const auto handle = msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, limitsFor(bytes.size()));
+        const auto handle = msgpack::unpack(bytes.data(), bytes.size(), nullptr, nullptr, unpackLimits(bytes.size()));
         return handle.get().as<Value>();
     } catch (const msgpack::unpack_error &error) {
         throw base::Error(base::ResultCode::MessageMalformed, error.what());
--- a/src/include/papayastep/wire/slotask.h
+++ b/src/include/papayastep/wire/slotquery.h
@@ -5,9 +5,9 @@
 
 namespace papayastep::wire {
 
-/// Kind SlotAsk, entry to serving node: what would become of this request at your backend server now? Some 100 bytes,
+/// Kind SlotQuery, entry to serving node: what would become of this request at your backend server now? Some 100 bytes,
 /// where a request that is sent only to be refused costs its whole body and both headers.
-struct SlotAsk
+struct SlotQuery
 {
     std::uint64_t requestHigh = 0;
     std::uint64_t requestLow = 0;
@@ -16,15 +16,24 @@
     std::uint8_t priority = 0; ///< As in HopRequest.
     bool idempotent = false;
     std::int64_t remaining = 0; ///< As in HopRequest.
-    std::int64_t wantedIn = 0; ///< As in HopRequest.
+    std::int64_t remainingTarget = 0; ///< As in HopRequest.
     base::RouteId route;
-    bool isCall = false; ///< As in HopRequest.
+    bool isNestedCall = false; ///< As in HopRequest.
 
-    auto operator<=>(const SlotAsk &) const = default;
-    MSGPACK_DEFINE(requestHigh, requestLow, server, workspace, priority, idempotent, remaining, wantedIn, route, isCall)
+    auto operator<=>(const SlotQuery &) const = default;
+    MSGPACK_DEFINE(requestHigh,
+                   requestLow,
+                   server,
+                   workspace,
+                   priority,
+                   idempotent,
+                   remaining,
+                   remainingTarget,
+                   route,
+                   isNestedCall)
 };
 
-/// Kind SlotOffer, the answer to a SlotAsk. It promises nothing: the slot may be taken when the request comes.
+/// Kind SlotOffer, the answer to a SlotQuery. It promises nothing: the slot may be taken when the request comes.
 struct SlotOffer
 {
     std::uint64_t requestHigh = 0;
@@ -35,10 +44,10 @@
     std::uint32_t runMicros = 0; ///< How long runs take there.
     std::uint8_t grayPercent = 0; ///< As in HopReply.
     std::uint32_t idleMs = 0; ///< Since the last request was started there.
-    bool held = false; ///< The server is held back as gray: only a last resort is taken.
+    bool heldAsGray = false; ///< The server is held back as gray: only a last resort is taken.
 
     auto operator<=>(const SlotOffer &) const = default;
-    MSGPACK_DEFINE(requestHigh, requestLow, server, code, waitMicros, runMicros, grayPercent, idleMs, held)
+    MSGPACK_DEFINE(requestHigh, requestLow, server, code, waitMicros, runMicros, grayPercent, idleMs, heldAsGray)
 };
 
 }
--- a/src/net/silence.cpp
+++ b/src/net/deadpeer.cpp
@@ -1,4 +1,4 @@
-#include "silence.h"
+#include "deadpeer.h"
 
 #include <algorithm>
 #include <netinet/in.h>
@@ -17,7 +17,7 @@
 
 }
 
-void probeWhenIdle(tcp::socket &socket, base::Duration timeout)
+void enableKeepAlive(tcp::socket &socket, base::Duration timeout)
 {
     constexpr int probes = 2;
     const auto whole = std::chrono::duration_cast<std::chrono::seconds>(timeout / probes).count();
@@ -28,7 +28,7 @@
     setOption(socket, IPPROTO_TCP, TCP_KEEPCNT, probes);
 }
 
-void boundUnacknowledged(tcp::socket &socket, base::Duration timeout)
+void setUserTimeout(tcp::socket &socket, base::Duration timeout)
 {
     const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(timeout).count();
     setOption(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(milliseconds));
--- a/src/net/silence.h
+++ b/src/net/deadpeer.h
@@ -7,9 +7,9 @@
 namespace papayastep::net {
 
 /// Probes an idle connection, so that it breaks after about `timeout`.
-void probeWhenIdle(tcp::socket &socket, base::Duration timeout);
+void enableKeepAlive(tcp::socket &socket, base::Duration timeout);
 
 /// Bounds how long sent bytes may stay unacknowledged.
-void boundUnacknowledged(tcp::socket &socket, base::Duration timeout);
+void setUserTimeout(tcp::socket &socket, base::Duration timeout);
 
 }
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -1,5 +1,5 @@
+#include "deadpeer.h"
 #include "papayastep/net/httpclient.h"
-#include "silence.h"
 
 #include "papayastep/net/task.h"
 
@@ -199,8 +199,8 @@
         co_return false;
     }
     m_connection->stream().socket().set_option(tcp::no_delay(true), error);
-    probeWhenIdle(m_connection->stream().socket(), m_pool.limits().silenceTimeout);
-    boundUnacknowledged(m_connection->stream().socket(), m_pool.limits().silenceTimeout);
+    enableKeepAlive(m_connection->stream().socket(), m_pool.limits().deadPeerTimeout);
+    setUserTimeout(m_connection->stream().socket(), m_pool.limits().deadPeerTimeout);
     co_return true;
 }
 
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -88,7 +88,7 @@
                 }
             } catch (...) {
                 // A request that stayed counted would keep a planned stop waiting until its time is over.
-                taskFaults(m_server.m_context).note("request", std::current_exception());
+                taskFaults(m_server.m_context).record("request", std::current_exception());
                 whole = false;
             }
             --m_server.m_inFlight;
@@ -459,7 +459,7 @@
     if (error) {
         throw base::Error(base::ResultCode::SettingsAddressInUse, toString(endpoint) + ": " + error.message());
     }
-    spawnDuty(m_context, "accept", [this] { return acceptLoop(); });
+    spawnRestartingTask(m_context, "accept", [this] { return acceptLoop(); });
 }
 
 HttpServer::~HttpServer() = default;
@@ -511,7 +511,7 @@
         }
         if (isOutOfDescriptors(error)) {
             co_await waitForConnection();
-            const bool taken = !m_stopping && takeOrRefuse(socket);
+            const bool taken = !m_stopping && acceptOrRefuse(socket);
             if (!taken) {
                 continue;
             }
@@ -532,7 +532,7 @@
 Awaitable<void> HttpServer::waitForConnection()
 {
     beast::error_code error;
-    if (m_spare.takeBack()) {
+    if (m_spare.reacquire()) {
         co_await m_acceptor.async_wait(tcp::acceptor::wait_read, into(error));
     } else {
         co_await pauseAfterFailure();
@@ -542,7 +542,7 @@
 /// Takes a connection that waits, if there is a descriptor for it by now. If not, it is closed by means of the spare
 /// one: a caller that is left in the queue hears nothing until its own timeout. Returns whether `socket` is to be
 /// served.
-bool HttpServer::takeOrRefuse(tcp::socket &socket)
+bool HttpServer::acceptOrRefuse(tcp::socket &socket)
 {
     beast::error_code error;
     m_acceptor.non_blocking(true, error);
@@ -550,13 +550,13 @@
     if (!isOutOfDescriptors(error)) {
         return !error;
     }
-    m_spare.giveUp();
+    m_spare.release();
     m_acceptor.accept(socket, error);
     if (!error) {
         noteRefusal("descriptors");
     }
     socket.close(error);
-    m_spare.takeBack();
+    m_spare.reacquire();
     return false;
 }
 
--- a/src/net/peerlistener.cpp
+++ b/src/net/peerlistener.cpp
@@ -1,5 +1,5 @@
+#include "deadpeer.h"
 #include "peerlistener.h"
-#include "silence.h"
 
 #include "papayastep/base/error.h"
 #include "papayastep/base/log.h"
@@ -87,7 +87,7 @@
 
 void PeerListener::start()
 {
-    spawnDuty(m_context, "peer-accept", [self = shared_from_this()] { return self->acceptAll(); });
+    spawnRestartingTask(m_context, "peer-accept", [self = shared_from_this()] { return self->acceptAll(); });
 }
 
 void PeerListener::close()
@@ -114,7 +114,7 @@
             co_await timer.async_wait(into(error));
             continue;
         }
-        probeWhenIdle(*socket, idleProbing);
+        enableKeepAlive(*socket, idleProbing);
         m_connections.insert(socket);
         spawnTask(m_context, "peer-read", [self = shared_from_this(), socket] { return self->readAll(socket); });
     }
--- a/src/net/peersender.cpp
+++ b/src/net/peersender.cpp
@@ -1,5 +1,5 @@
+#include "deadpeer.h"
 #include "peersender.h"
-#include "silence.h"
 
 #include "papayastep/net/task.h"
 #include "papayastep/wire/envelope.h"
@@ -17,7 +17,7 @@
 constexpr std::size_t longestQueue = 16;
 
 constexpr base::Duration connectTimeout = std::chrono::milliseconds(500);
-constexpr base::Duration silenceTimeout = std::chrono::seconds(2);
+constexpr base::Duration deadPeerTimeout = std::chrono::seconds(2);
 constexpr base::Duration firstBackoff = std::chrono::milliseconds(50);
 constexpr base::Duration longestBackoff = std::chrono::seconds(1);
 
@@ -119,7 +119,7 @@
         co_return false;
     }
     socket->set_option(tcp::no_delay(true), error);
-    boundUnacknowledged(*socket, silenceTimeout);
+    setUserTimeout(*socket, deadPeerTimeout);
     m_socket = socket;
     m_backoff = base::Duration::zero();
     spawnTask(m_context, "peer-watch", [self = shared_from_this(), socket] { return self->watch(socket); });
--- a/src/net/platformclient.cpp
+++ b/src/net/platformclient.cpp
@@ -20,7 +20,7 @@
 HttpPlatformClient::HttpPlatformClient(asio::io_context &context,
                                        const base::Clock &clock,
                                        std::vector<Endpoint> endpoints,
-                                       std::shared_ptr<CallBook> calls)
+                                       std::shared_ptr<CallStatistics> calls)
     : m_context(context)
     , m_clock(clock)
     , m_pool(context, clock, HttpPool::Limits{})
@@ -85,13 +85,13 @@
         result = co_await httpGet(m_context, m_pool, endpoint, std::move(target), limits);
     } catch (const base::Error &error) {
         ++m_next;
-        m_calls->note(call, error.code(), m_clock.now() - began);
+        m_calls->record(call, error.code(), m_clock.now() - began);
         throw;
     }
     constexpr unsigned noContent = 204;
     constexpr unsigned ok = 200;
     const bool good = result.status == noContent || result.status == ok;
-    m_calls->note(call, good ? base::ResultCode::Ok : base::ResultCode::PlatformAnswerInvalid, m_clock.now() - began);
+    m_calls->record(call, good ? base::ResultCode::Ok : base::ResultCode::PlatformAnswerInvalid, m_clock.now() - began);
     if (result.status == noContent) {
         co_return std::nullopt;
     }
--- a/src/net/sparedescriptor.cpp
+++ b/src/net/sparedescriptor.cpp
@@ -9,15 +9,15 @@
 
 SpareDescriptor::SpareDescriptor()
 {
-    takeBack();
+    reacquire();
 }
 
 SpareDescriptor::~SpareDescriptor()
 {
-    giveUp();
+    release();
 }
 
-void SpareDescriptor::giveUp()
+void SpareDescriptor::release()
 {
     if (m_descriptor >= 0) {
         ::close(m_descriptor);
@@ -25,7 +25,7 @@
     }
 }
 
-bool SpareDescriptor::takeBack()
+bool SpareDescriptor::reacquire()
 {
     if (m_descriptor < 0) {
         m_descriptor = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
--- a/src/net/task.cpp
+++ b/src/net/task.cpp
@@ -26,7 +26,7 @@
             co_await body();
             done = true;
         } catch (...) {
-            taskFaults(context).note(task, std::current_exception());
+            taskFaults(context).record(task, std::current_exception());
         }
         if (!done) {
             asio::steady_timer pause(context, restartPause);
@@ -45,7 +45,7 @@
 {
 }
 
-void TaskFaults::note(const char *task, const std::exception_ptr &failure) noexcept
+void TaskFaults::record(const char *task, const std::exception_ptr &failure) noexcept
 {
     ++m_count;
     try {
@@ -78,12 +78,12 @@
             context.run();
             return;
         } catch (...) {
-            taskFaults(context).note("handler", std::current_exception());
+            taskFaults(context).record("handler", std::current_exception());
         }
     }
 }
 
-void spawnDuty(asio::io_context &context, const char *task, std::function<Awaitable<void>()> body)
+void spawnRestartingTask(asio::io_context &context, const char *task, std::function<Awaitable<void>()> body)
 {
     auto run = [&context, task, body = std::move(body)] { return keepRunning(context, task, body); };
     spawnTask(context, task, std::move(run));
--- a/src/net/task_test.cpp
+++ b/src/net/task_test.cpp
@@ -49,7 +49,7 @@
 BOOST_AUTO_TEST_CASE(duty_throwsTwice_isStartedAgain)
 {
     int starts = 0;
-    net::spawnDuty(context, "test", [&starts]() -> net::Awaitable<void> {
+    net::spawnRestartingTask(context, "test", [&starts]() -> net::Awaitable<void> {
         if (++starts < 3) {
             throw std::system_error(std::make_error_code(std::errc::too_many_files_open));
         }
--- a/src/node/collectmetrics.cpp
+++ b/src/node/collectmetrics.cpp
@@ -53,7 +53,7 @@
     for (const auto &[kind, total] : m_context.interfaces.platformCalls->totals()) {
         const NodeMetrics::Labels labels{{"call", kind.call}, {"answer", kind.answer}};
         metrics.setTotal("platform_calls", real(total.calls), labels);
-        metrics.setTotal("platform_call_seconds", std::chrono::duration<double>(total.took).count(), labels);
+        metrics.setTotal("platform_call_seconds", std::chrono::duration<double>(total.totalDuration).count(), labels);
     }
 }
 
--- a/src/node/configurationfetcher.cpp
+++ b/src/node/configurationfetcher.cpp
@@ -45,12 +45,12 @@
 void ConfigurationFetcher::start()
 {
     startConfigurationOnly();
-    net::spawnDuty(m_context.io, "vm-list", [this] { return vmListLoop(); });
+    net::spawnRestartingTask(m_context.io, "vm-list", [this] { return vmListLoop(); });
 }
 
 void ConfigurationFetcher::startConfigurationOnly()
 {
-    net::spawnDuty(m_context.io, "configuration", [this] { return configurationLoop(); });
+    net::spawnRestartingTask(m_context.io, "configuration", [this] { return configurationLoop(); });
 }
 
 void ConfigurationFetcher::stop()
--- a/src/node/directoryupdater.cpp
+++ b/src/node/directoryupdater.cpp
@@ -40,7 +40,7 @@
 void DirectoryUpdater::start(std::function<void(base::Revision published, bool changed)> answered)
 {
     m_onAnswer = std::move(answered);
-    net::spawnDuty(m_context.io, "directory", [this] { return loop(); });
+    net::spawnRestartingTask(m_context.io, "directory", [this] { return loop(); });
 }
 
 void DirectoryUpdater::stop()
--- a/src/node/entryrequest.cpp
+++ b/src/node/entryrequest.cpp
@@ -432,10 +432,10 @@
     hop.callerId = m_caller.id;
     hop.priority = static_cast<std::uint8_t>(m_priority);
     if (m_route->targetLatency > base::Duration::zero()) {
-        hop.wantedIn = std::max<std::int64_t>(1, (m_arrived + m_route->targetLatency - now).count());
+        hop.remainingTarget = std::max<std::int64_t>(1, (m_arrived + m_route->targetLatency - now).count());
     }
     hop.lastResort = chosen.lastResort;
-    hop.isCall = m_isCall;
+    hop.isNestedCall = m_isCall;
     const config::VmEntry *vm = m_context.vms.find(server.vm);
     if (server.vm == m_context.settings.vm || vm == nullptr) {
         return std::make_shared<LocalAttempt>(m_context, std::move(hop), m_handler.m_serving);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -169,7 +169,7 @@
         m_configurationFetcher.start();
     }
     m_prober.start();
-    net::spawnDuty(io, "tick", [this] { return tickLoop(); });
+    net::spawnRestartingTask(io, "tick", [this] { return tickLoop(); });
     PAPAYASTEP_LOG(INFO, logPrefix) << "Started." << base::field("vm", m_context.settings.vm)
                                     << base::field("zone", m_context.settings.zone)
                                     << base::field("incarnation", m_context.incarnation)
@@ -257,8 +257,8 @@
     } else if (isBetween(envelope.kind, 30, 39)) {
         m_spread.receive(envelope.sender, envelope.kind, envelope.payload);
         m_configurationFetcher.wake();
-    } else if (envelope.kind == wire::MessageKind::SlotAsk) {
-        const wire::SlotOffer offer = m_servingNode.offerFor(wire::decode<wire::SlotAsk>(envelope.payload));
+    } else if (envelope.kind == wire::MessageKind::SlotQuery) {
+        const wire::SlotOffer offer = m_servingNode.offerFor(wire::decode<wire::SlotQuery>(envelope.payload));
         m_peerMessenger.send(wire::outgoing(envelope.sender, wire::MessageKind::SlotOffer, offer));
     } else if (envelope.kind == wire::MessageKind::SlotOffer) {
         if (m_context.silence.markResponsive(envelope.sender)) {
@@ -531,7 +531,7 @@
     try {
         co_await finishRequests();
     } catch (...) {
-        net::taskFaults(m_context.io).note("drain", std::current_exception());
+        net::taskFaults(m_context.io).record("drain", std::current_exception());
     }
     net::runStep(m_context.io, "stop", [this] { stopTasks(); });
     m_context.io.stop();
--- a/src/node/prober.cpp
+++ b/src/node/prober.cpp
@@ -21,7 +21,7 @@
 
 void Prober::start()
 {
-    net::spawnDuty(m_context.io, "probes", [this] { return loop(); });
+    net::spawnRestartingTask(m_context.io, "probes", [this] { return loop(); });
 }
 
 net::Awaitable<void> Prober::loop()
--- a/src/node/serverselector.cpp
+++ b/src/node/serverselector.cpp
@@ -25,7 +25,7 @@
     quote.run = std::chrono::microseconds(offer.runMicros);
     quote.failureRisk = std::min<int>(offer.grayPercent, 100) / 100.0;
     quote.idle = std::chrono::milliseconds(offer.idleMs);
-    quote.held = offer.held;
+    quote.held = offer.heldAsGray;
     return quote;
 }
 
@@ -148,7 +148,7 @@
 void ServerSelector::ask(const ServerRequirements &need, const routing::Candidate &candidate)
 {
     const auto now = m_context.clock.now();
-    wire::SlotAsk question;
+    wire::SlotQuery question;
     question.requestHigh = m_request.high;
     question.requestLow = m_request.low;
     question.server = candidate.server;
@@ -156,16 +156,16 @@
     question.route = need.route;
     question.priority = static_cast<std::uint8_t>(need.priority);
     question.idempotent = need.idempotent;
-    question.isCall = need.isCall;
+    question.isNestedCall = need.isCall;
     question.remaining = (need.deadline - now).count();
     if (need.targetTime) {
-        question.wantedIn = std::max<std::int64_t>(1, (*need.targetTime - now).count());
+        question.remainingTarget = std::max<std::int64_t>(1, (*need.targetTime - now).count());
     }
     if (candidate.vm == m_context.settings.vm) {
         slotOffered(m_serving.offerFor(question));
         return;
     }
-    m_context.send(wire::outgoing(candidate.vm, wire::MessageKind::SlotAsk, question));
+    m_context.send(wire::outgoing(candidate.vm, wire::MessageKind::SlotQuery, question));
 }
 
 void ServerSelector::recordSilentNodes() const
--- a/src/node/servingnode.cpp
+++ b/src/node/servingnode.cpp
@@ -242,7 +242,7 @@
     co_return answerOf(activeAttempt);
 }
 
-wire::SlotOffer ServingNode::offerFor(const wire::SlotAsk &ask)
+wire::SlotOffer ServingNode::offerFor(const wire::SlotQuery &ask)
 {
     wire::SlotOffer offer;
     offer.requestHigh = ask.requestHigh;
@@ -259,15 +259,15 @@
     limits::QueueOffer wanted;
     wanted.workspace = ask.workspace;
     wanted.route = ask.route;
-    wanted.isCall = ask.isCall;
+    wanted.isCall = ask.isNestedCall;
     wanted.priority = ask.priority;
     wanted.deadline = now + base::Duration(ask.remaining);
-    if (ask.wantedIn > 0) {
-        wanted.wantedBy = now + base::Duration(ask.wantedIn);
+    if (ask.remainingTarget > 0) {
+        wanted.wantedBy = now + base::Duration(ask.remainingTarget);
     }
     const limits::OfferResult verdict = localServer->queue.quote(wanted);
     offer.code = number(verdict.code);
-    offer.held = refused.has_value();
+    offer.heldAsGray = refused.has_value();
     offer.waitMicros = static_cast<std::uint32_t>(microseconds(verdict.retryAfter));
     offer.runMicros = static_cast<std::uint32_t>(microseconds(expectedRun(*localServer, ask.route)));
     offer.grayPercent = localServer->grayPercent(now);
@@ -284,7 +284,7 @@
     m_context.metrics.countCancel(routing::name(answer));
     PAPAYASTEP_LOG(INFO, logPrefix) << "Answered a cancel request."
                                     << base::field("request",
-                                                   found != m_attempts.end() ? found->second->hop.shownId()
+                                                   found != m_attempts.end() ? found->second->hop.logId()
                                                                              : toString(request))
                                     << base::field("attempt", attempt) << base::field("answer", routing::name(answer));
     if (found == m_attempts.end()) {
@@ -425,7 +425,7 @@
         const bool mayRetry = activeAttempt->hop.idempotent
             && activeAttempt->deadline - now > localServer->queue.runTimes().mean(activeAttempt->hop.route);
         PAPAYASTEP_LOG(INFO, logPrefix)
-            << "An attempt is overdue." << base::field("request", activeAttempt->hop.shownId())
+            << "An attempt is overdue." << base::field("request", activeAttempt->hop.logId())
             << base::field("server", activeAttempt->hop.server)
             << base::field("runMs", milliseconds(now - activeAttempt->started))
             << base::field("usualMs", milliseconds(localServer->queue.runTimes().mean(activeAttempt->hop.route)))
@@ -586,12 +586,12 @@
     offer.attempt = activeAttempt.id();
     offer.workspace = activeAttempt.hop.workspace;
     offer.route = activeAttempt.hop.route;
-    offer.isCall = activeAttempt.hop.isCall;
+    offer.isCall = activeAttempt.hop.isNestedCall;
     offer.deadline = activeAttempt.deadline;
     offer.priority = activeAttempt.hop.priority;
-    if (activeAttempt.hop.wantedIn > 0) {
+    if (activeAttempt.hop.remainingTarget > 0) {
         offer.wantedBy
-            = activeAttempt.deadline - base::Duration(activeAttempt.hop.remaining - activeAttempt.hop.wantedIn);
+            = activeAttempt.deadline - base::Duration(activeAttempt.hop.remaining - activeAttempt.hop.remainingTarget);
     }
     return offer;
 }
@@ -616,7 +616,7 @@
     LocalServer &localServer = *findLocalServer(activeAttempt->hop.server);
     localServer.hold.started(activeAttempt->healthKey(), activeAttempt->started);
     PAPAYASTEP_LOG(INFO, logPrefix)
-        << "Started an attempt." << base::field("request", activeAttempt->hop.shownId())
+        << "Started an attempt." << base::field("request", activeAttempt->hop.logId())
         << base::field("attempt", activeAttempt->hop.attempt) << base::field("entry", activeAttempt->hop.entry)
         << base::field("server", activeAttempt->hop.server)
         << base::field("waitedMs", milliseconds(activeAttempt->started - activeAttempt->arrived))
@@ -724,7 +724,7 @@
     case health::HoldChange::Returned:
         m_context.metrics.countReturn(localServer.configured.service);
         PAPAYASTEP_LOG(INFO, logPrefix) << "A backend server answers again."
-                                        << base::field("request", activeAttempt.hop.shownId())
+                                        << base::field("request", activeAttempt.hop.logId())
                                         << base::field("server", activeAttempt.hop.server);
         break;
     case health::HoldChange::None:
@@ -734,7 +734,7 @@
         m_context.gray.note(activeAttempt.hop.server, localServer.hold.grayProbability(now));
     } else if (isFailure(outcome)) {
         PAPAYASTEP_LOG(INFO, logPrefix) << "A backend server failed."
-                                        << base::field("request", activeAttempt.hop.shownId())
+                                        << base::field("request", activeAttempt.hop.logId())
                                         << base::field("server", activeAttempt.hop.server)
                                         << base::field("how", health::name(outcome))
                                         << base::field("runMs", milliseconds(now - activeAttempt.started))
@@ -786,7 +786,7 @@
     answer.reply.outcome = static_cast<std::uint8_t>(wire::HopOutcome::Unknown);
     answer.reply.code = number(code);
     PAPAYASTEP_LOG(WARNING, logPrefix) << "Received no complete answer."
-                                       << base::field("request", activeAttempt->hop.shownId())
+                                       << base::field("request", activeAttempt->hop.logId())
                                        << base::field("server", activeAttempt->hop.server)
                                        << base::field("code", number(code));
     return answer;
@@ -799,7 +799,7 @@
         return outcome;
     }
     PAPAYASTEP_LOG(INFO, logPrefix) << "An attempt failed because a call that it made failed."
-                                    << base::field("request", activeAttempt.hop.shownId())
+                                    << base::field("request", activeAttempt.hop.logId())
                                     << base::field("server", activeAttempt.hop.server);
     return health::AttemptOutcome::CallFailed;
 }
@@ -833,7 +833,7 @@
 {
     const auto found = m_localServers.find(activeAttempt.hop.server);
     const LocalServer *localServer = found != m_localServers.end() ? found->second.get() : nullptr;
-    PAPAYASTEP_LOG(INFO, logPrefix) << "Refused an attempt." << base::field("request", activeAttempt.hop.shownId())
+    PAPAYASTEP_LOG(INFO, logPrefix) << "Refused an attempt." << base::field("request", activeAttempt.hop.logId())
                                     << base::field("attempt", activeAttempt.hop.attempt)
                                     << base::field("entry", activeAttempt.hop.entry)
                                     << base::field("server", activeAttempt.hop.server)
@@ -886,7 +886,7 @@
     routing::PlacementRequest request{
         m_context.settings.zone, activeAttempt.hop.idempotent, {activeAttempt.hop.server}};
     request.remaining = base::Duration(activeAttempt.hop.remaining);
-    request.remainingTarget = base::Duration(activeAttempt.hop.wantedIn);
+    request.remainingTarget = base::Duration(activeAttempt.hop.remainingTarget);
     const auto placement = m_context.placement->place(candidates, request, m_context.random);
     return placement.candidate ? candidates[*placement.candidate].server : base::BackendServerId();
 }
