--- a/src/config/configstore.cpp
+++ b/src/config/configstore.cpp
@@ -188,7 +188,7 @@
     return result;
 }
 
-std::size_t ConfigStore::residentBytes() const
+std::size_t ConfigStore::compressedBytes() const
 {
     std::size_t bytes = 0;
     for (const auto &[name, blob] : m_blobs) {
--- a/src/config/entryreader.cpp
+++ b/src/config/entryreader.cpp
@@ -251,7 +251,7 @@
     readId(json, "id", into.id, context);
     readHost(json, into.host, context);
     readPath(json, "pathPrefix", into.pathPrefix, context);
-    read(json, "below", into.below);
+    read(json, "below", into.onlyBelowPrefix);
     readMethods(json, into.methods, context);
     if (json.contains("service")) {
         into.split.clear();
--- a/src/config/entrywriter.cpp
+++ b/src/config/entrywriter.cpp
@@ -39,7 +39,7 @@
     ordered_json json{{"id", route.id.value()},
                       {"host", route.host},
                       {"pathPrefix", route.pathPrefix},
-                      {"below", route.below},
+                      {"below", route.onlyBelowPrefix},
                       {"methods", route.methods},
                       {"service", route.service.value()},
                       {"public", route.isPublic},
--- a/src/include/papayastep/config/configstore.h
+++ b/src/include/papayastep/config/configstore.h
@@ -103,7 +103,7 @@
     ConfigStore assemble(const FileListing &listing, const std::vector<ConfigurationFile> &fetched) const;
 
     /// Compressed bytes held.
-    std::size_t residentBytes() const;
+    std::size_t compressedBytes() const;
 
 private:
     using Blob = std::shared_ptr<const std::string>; ///< One zstd frame.
--- a/src/include/papayastep/config/configuration.h
+++ b/src/include/papayastep/config/configuration.h
@@ -64,7 +64,7 @@
     base::RouteId id;
     std::string host; ///< Empty: any host.
     std::string pathPrefix;
-    bool below = false; ///< Only paths below the prefix match, not the prefix itself.
+    bool onlyBelowPrefix = false; ///< Only paths below the prefix match, not the prefix itself.
     std::vector<std::string> methods; ///< Empty: any method.
     base::ServiceId service; ///< Of all requests; with `split`, of its first target.
     std::vector<RouteTarget> split; ///< Empty: all requests go to `service`.
--- a/src/membership/configdistributor.cpp
+++ b/src/membership/configdistributor.cpp
@@ -582,7 +582,7 @@
     status.revision = m_store.revision();
     status.reader = isReader();
     status.vmListVersion = m_directory.list().version;
-    status.storeBytes = m_store.residentBytes();
+    status.storeBytes = m_store.compressedBytes();
     if (m_confirmedAt) {
         status.confirmationAge = m_clock.now() - *m_confirmedAt;
     }
--- a/src/membership/measure.cpp
+++ b/src/membership/measure.cpp
@@ -172,7 +172,7 @@
     const double beforeStore = residentBytes();
     const config::ConfigStore store(1, files);
     reporter.report("store_bytes" + at, residentBytes() - beforeStore, "B");
-    reporter.report("store_payload_bytes" + at, static_cast<double>(store.residentBytes()), "B");
+    reporter.report("store_payload_bytes" + at, static_cast<double>(store.compressedBytes()), "B");
 }
 
 void measurePatch(const Sizes &sizes, std::uint64_t seed, Reporter &reporter)
--- a/src/routing/routetable.cpp
+++ b/src/routing/routetable.cpp
@@ -180,7 +180,7 @@
 
 bool allows(const config::Route &route, std::string_view method, bool isBelow)
 {
-    if (route.below && !isBelow) {
+    if (route.onlyBelowPrefix && !isBelow) {
         return false;
     }
     return route.methods.empty()
