--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -1,6 +1,6 @@
 #include "deadpeer.h"
-#include "papayastep/net/httpclient.h"
 
+#include "papayastep/net/httpclient.h"
 #include "papayastep/net/task.h"
 
 #include <algorithm>
