--- a/src/config/check.cpp
+++ b/src/config/check.cpp
@@ -29,15 +29,15 @@
     return sorted;
 }
 
-/// Reads `files` one at a time into `merger`: only one file's JSON is in memory at once. Returns whether all could be
-/// read.
+/// Parses `files` one after the other and adds them to `merger`, so that the JSON of only one file is in memory at a
+/// time. Returns whether all files could be parsed and match the schema.
 bool readFiles(const std::vector<ConfigurationFile> &files, Merger &merger, ErrorList &errors)
 {
     bool complete = true;
     const ConfigurationFile *previous = nullptr;
     for (const ConfigurationFile *file : sortedByName(files)) {
         if (previous && previous->name == file->name) {
-            errors.add(ResultCode::ConfigDuplicate, "two files have this name", {file->name, {}});
+            errors.add(ResultCode::ConfigDuplicate, "another file has the same name", {file->name, {}});
         }
         previous = file;
         const auto parsed = parseFile(*file, errors);
@@ -65,7 +65,7 @@
     Merger merger(errors);
     const bool complete = readFiles(files, merger, errors);
     if (complete && isEmpty(merger)) {
-        errors.add(ResultCode::ConfigFolderEmpty, "no file has an entry");
+        errors.add(ResultCode::ConfigFolderEmpty, "no file contains an entry");
     }
     crossCheck(merger, complete, errors);
     findWarnings(merger, warnings);
--- a/src/config/check_test.cpp
+++ b/src/config/check_test.cpp
@@ -31,7 +31,7 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(example_ofCaribrite_hasTheSizesOfToday, ExampleFixture)
+BOOST_FIXTURE_TEST_CASE(example_ofCaribrite_hasExpectedSizes, ExampleFixture)
 {
     const auto configuration = load("caribrite");
     BOOST_TEST(configuration->workspaces().size() == 8);
@@ -41,7 +41,7 @@
     BOOST_TEST(configuration->routes().size() == 4);
 }
 
-BOOST_FIXTURE_TEST_CASE(example_ofTeplaNoha_hasTheSizesOfToday, ExampleFixture)
+BOOST_FIXTURE_TEST_CASE(example_ofTeplaNoha_hasExpectedSizes, ExampleFixture)
 {
     const auto configuration = load("tepla-noha");
     BOOST_TEST(configuration->workspaces().size() == 8);
@@ -51,7 +51,7 @@
     BOOST_TEST(configuration->routes().size() == 5);
 }
 
-BOOST_FIXTURE_TEST_CASE(exampleCallers_withTheirKeys_belongToTheirWorkspaces, ExampleFixture)
+BOOST_FIXTURE_TEST_CASE(exampleKeys_ofCallers_identifyTheirWorkspaces, ExampleFixture)
 {
     for (const std::string name : {"caribrite", "tepla-noha"}) {
         const auto configuration = load(name);
@@ -65,7 +65,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(exampleVms_ofBothUsers_carryEachBackendServer, ExampleFixture)
+BOOST_FIXTURE_TEST_CASE(exampleVms_ofBothExamples_runBackendServers, ExampleFixture)
 {
     for (const std::string name : {"caribrite", "tepla-noha"}) {
         const auto configuration = load(name);
--- a/src/config/compression.h
+++ b/src/config/compression.h
@@ -6,12 +6,13 @@
 
 namespace papayastep::config {
 
-/// A zstd frame of `text`. With a `prefix`, only what `prefix` does not contain takes room, and the same prefix is
-/// needed to read it.
+/// Returns `text` as a zstd frame. With a `prefix`, the frame takes space only for what `prefix` does not contain, and
+/// decompress() needs the same prefix.
 std::string compress(std::string_view text, std::string_view prefix = {});
 
-/// The inverse of compress(). Throws Error(MessageMalformed) for bytes that are no such frame or that hold more than
-/// `largest` bytes, before memory for them is taken: else a frame of a few bytes could fill a node's memory.
-std::string decompress(std::string_view frame, std::size_t largest, std::string_view prefix = {});
+/// The inverse of compress(). Throws Error(MessageMalformed) for an invalid frame and for a text of more than
+/// `maxBytes` bytes. The size is checked before memory is allocated, because a frame of a few bytes could otherwise
+/// exhaust the memory of a node.
+std::string decompress(std::string_view frame, std::size_t maxBytes, std::string_view prefix = {});
 
 }
--- a/src/config/configstore.cpp
+++ b/src/config/configstore.cpp
@@ -91,7 +91,7 @@
 {
     const auto blob = m_blobs.find(name);
     if (blob == m_blobs.end()) {
-        throw base::Error(base::ResultCode::ConfigUnknownReference, "no such file is held", {name, {}});
+        throw base::Error(base::ResultCode::ConfigUnknownReference, "the store has no file of this name", {name, {}});
     }
     return decompress(*blob->second, maxFileBytes);
 }
@@ -106,22 +106,22 @@
     return all;
 }
 
-ConfigurationPatch ConfigStore::patchFor(const FileListing &have, const ConfigStore &older) const
+ConfigurationPatch ConfigStore::patchFor(const FileListing &receiverListing, const ConfigStore &olderStore) const
 {
-    ConfigurationPatch patch{m_listing.revision, have.digest(), m_listing.digest(), {}, {}, {}};
-    for (const FileReference &file : have.files) {
+    ConfigurationPatch patch{m_listing.revision, receiverListing.digest(), m_listing.digest(), {}, {}, {}};
+    for (const FileReference &file : receiverListing.files) {
         if (!findFile(m_listing, file.name)) {
             patch.removed.push_back(file.name);
         }
     }
     for (const FileReference &file : m_listing.files) {
-        const FileReference *old = findFile(have, file.name);
+        const FileReference *old = findFile(receiverListing, file.name);
         if (old && old->digest == file.digest) {
             continue;
         }
         patch.changed.push_back(file);
-        if (old && older.holds(*old)) {
-            patch.patches.push_back({file.name, old->digest, compress(text(file.name), older.text(file.name))});
+        if (old && olderStore.holds(*old)) {
+            patch.patches.push_back({file.name, old->digest, compress(text(file.name), olderStore.text(file.name))});
         } else {
             patch.patches.push_back({file.name, {}, *m_blobs.at(file.name)});
         }
@@ -132,10 +132,10 @@
 ConfigStore ConfigStore::apply(const ConfigurationPatch &patch) const
 {
     if (patch.baseDigest != m_listing.digest()) {
-        throwMalformed("the patch is against other files");
+        throwMalformed("the patch was made for other files");
     }
     if (patch.changed.size() != patch.patches.size()) {
-        throwMalformed("the patch lacks a file");
+        throwMalformed("the number of file patches differs from the number of changed files");
     }
     ConfigStore result(*this);
     for (const std::string &name : patch.removed) {
@@ -147,11 +147,11 @@
         const FilePatch &change = patch.patches[index];
         const bool isWhole = change.baseDigest.empty();
         if (!isWhole && !holds({file.name, change.baseDigest, 0})) {
-            throwMalformed("the old text of a changed file is not held");
+            throwMalformed("the store lacks the old text of a changed file");
         }
         const std::string newText = decompress(change.data, maxFileBytes, isWhole ? std::string() : text(file.name));
         if (newText.size() != file.bytes || digestOf(newText) != file.digest) {
-            throwMalformed("a file differs from its digest");
+            throwMalformed("a file does not match its size or digest");
         }
         result.m_blobs[file.name] = std::make_shared<const std::string>(isWhole ? change.data : compress(newText));
         std::erase_if(result.m_listing.files, [&file](const FileReference &old) { return old.name == file.name; });
@@ -160,7 +160,7 @@
     sortByName(result.m_listing);
     result.m_listing.revision = patch.target;
     if (result.m_listing.digest() != patch.targetDigest) {
-        throwMalformed("the files are not those of the revision");
+        throwMalformed("the resulting files do not match the digest of the revision");
     }
     return result;
 }
@@ -181,7 +181,9 @@
         }
         const auto found = byName.find(file.name);
         if (found == byName.end() || digestOf(found->second->text) != file.digest) {
-            throw base::Error(base::ResultCode::PlatformAnswerInvalid, "a file is missing or differs", {file.name, {}});
+            throw base::Error(base::ResultCode::PlatformAnswerInvalid,
+                              "the file is missing or does not match its digest",
+                              {file.name, {}});
         }
         result.m_blobs.emplace(file.name, std::make_shared<const std::string>(compress(found->second->text)));
     }
--- a/src/config/configstore_test.cpp
+++ b/src/config/configstore_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A file near the size of a platform value, of keys that no compressor makes smaller.
+/// Returns a file of nearly maxFileBytes bytes that consists of keys, which hardly compress.
 std::string largeText(const std::string &changed)
 {
     std::string text = "[";
@@ -27,7 +27,7 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(patch_ofOneChangedLine_isSmallAndGivesTheNewFiles, StoreFixture)
+BOOST_FIXTURE_TEST_CASE(patch_ofOneChangedLine_isSmallAndResultsInNewFiles, StoreFixture)
 {
     const ConfigurationPatch patch = newer.patchFor(older.listing(), older);
     BOOST_TEST(patch.patches.at(0).data.size() < 1000u);
@@ -36,39 +36,40 @@
     BOOST_TEST((result.listing() == newer.listing()));
 }
 
-BOOST_FIXTURE_TEST_CASE(patch_againstNothing_carriesAllFiles, StoreFixture)
+BOOST_FIXTURE_TEST_CASE(patch_forEmptyStore_containsAllFiles, StoreFixture)
 {
     BOOST_TEST((ConfigStore().apply(newer.patchFor({}, {})).files() == newer.files()));
 }
 
-BOOST_FIXTURE_TEST_CASE(patch_withBaseThatTheSenderLost_goesWhole, StoreFixture)
+BOOST_FIXTURE_TEST_CASE(patch_withoutOldTextAtSender_containsWholeFile, StoreFixture)
 {
     const ConfigurationPatch patch = newer.patchFor(older.listing(), ConfigStore());
     BOOST_TEST(patch.patches.at(0).baseDigest.empty());
     BOOST_TEST((older.apply(patch).files() == newer.files()));
 }
 
-// Two revisions cross on their way and a patch arrives at a node with other files. Applied all the same it would mix
-// two revisions, and a withdrawn key could come back to life.
-BOOST_FIXTURE_TEST_CASE(patch_againstOtherFiles_isRefused, StoreFixture)
+// Two revisions are in transit at the same time, and a patch arrives at a node that has other files than those the
+// patch was made for. Guards against applying it, which would mix two revisions and could make a withdrawn key valid
+// again.
+BOOST_FIXTURE_TEST_CASE(patch_forOtherFiles_isRejected, StoreFixture)
 {
     const ConfigurationPatch patch = newer.patchFor(older.listing(), older);
     BOOST_CHECK_THROW(newer.apply(patch), base::Error);
     BOOST_CHECK_THROW(ConfigStore().apply(patch), base::Error);
 }
 
-// A faulty peer sends a frame of a few bytes that unpacks to more than a file may have. Without the limit the node
-// would run out of memory, and its callers would be cut off.
-BOOST_FIXTURE_TEST_CASE(patch_withHugeFile_isRefused, StoreFixture)
+// A faulty peer sends a frame of a few bytes that decompresses to more than the maximum file size. Guards against a
+// node that runs out of memory and drops the connections of its callers.
+BOOST_FIXTURE_TEST_CASE(patch_withFileAboveLimit_isRejected, StoreFixture)
 {
     const std::vector<ConfigurationFile> huge{{"10-a.json", std::string(maxFileBytes + 1, ' ')}};
     const ConfigStore sender(2, huge);
     BOOST_CHECK_THROW(ConfigStore().apply(sender.patchFor({}, {})), base::Error);
 }
 
-// A patch is cut or changed on its way, in memory or by a faulty peer. Whatever byte it is, the result must be the
-// right files or none.
-RC_BOOST_FIXTURE_PROP(patch_withAnyChangedByte_givesTheRightFilesOrNone, StoreFixture, ())
+// A patch is corrupted in transit, in memory or by a faulty peer. Guards against wrong files as a result, whichever
+// byte is changed: the result must be the correct files or an error.
+RC_BOOST_FIXTURE_PROP(patch_withAnyChangedByte_resultsInCorrectFilesOrError, StoreFixture, ())
 {
     ConfigurationPatch patch = newer.patchFor(older.listing(), older);
     std::string &data = patch.patches[0].data;
@@ -81,14 +82,15 @@
     }
 }
 
-// The platform publishes anew while a reader fetches: one file is already of the next revision.
-BOOST_FIXTURE_TEST_CASE(assembly_ofMixedRevisions_isRefused, StoreFixture)
+// The platform publishes a new revision while a node fetches files, so that one file already belongs to the next
+// revision. Guards against a store of mixed revisions.
+BOOST_FIXTURE_TEST_CASE(assembly_ofMixedRevisions_isRejected, StoreFixture)
 {
     BOOST_CHECK_THROW(older.assemble(newer.listing(), {{"10-a.json", "{}"}, {"40-d.json", "[2]"}}), base::Error);
     BOOST_CHECK_THROW(older.assemble(newer.listing(), {{"10-a.json", newer.text("10-a.json")}}), base::Error);
 }
 
-BOOST_FIXTURE_TEST_CASE(assembly_withFilesAlreadyHeld_needsOnlyTheOthers, StoreFixture)
+BOOST_FIXTURE_TEST_CASE(assembly_withStoredFiles_needsOnlyTheOthers, StoreFixture)
 {
     const auto store = older.assemble(newer.listing(), {{"10-a.json", newer.text("10-a.json")}, {"40-d.json", "[2]"}});
     BOOST_TEST((store.files() == newer.files()));
--- a/src/config/crosscheck.cpp
+++ b/src/config/crosscheck.cpp
@@ -40,7 +40,8 @@
     }
 }
 
-/// A key that speaks for two workspaces would make it a matter of chance who pays for a request.
+/// Reports keys of more than one workspace. With such a key, it would be arbitrary to which workspace a request is
+/// charged.
 void checkKeys(const Merger &merged, ErrorList &errors)
 {
     const Section<Workspace> &section = merged.workspaces();
@@ -50,7 +51,7 @@
             const auto [owner, isNew] = ownerOf.emplace(key, index);
             if (!isNew && owner->second != index) {
                 errors.add(ResultCode::ConfigContradiction,
-                           "a key is also that of workspace \"" + section.entries[owner->second].id.value() + "\"",
+                           "a key also belongs to workspace \"" + section.entries[owner->second].id.value() + "\"",
                            merged.locate(section.name, section.origins[index], "keys"));
             }
         }
@@ -62,7 +63,7 @@
     using Match = std::tuple<std::string, std::string, std::string>;
     const Section<Route> &section = merged.routes();
     std::map<Match, std::size_t> owners;
-    const auto claim = [&](const Route &route, const std::string &method, std::size_t index) {
+    const auto addMatch = [&](const Route &route, const std::string &method, std::size_t index) {
         const auto [owner, isNew] = owners.emplace(Match{route.host, route.pathPrefix, method}, index);
         if (!isNew && owner->second != index) {
             errors.add(ResultCode::ConfigContradiction,
@@ -74,10 +75,10 @@
     for (std::size_t index = 0; index < section.entries.size(); ++index) {
         const Route &route = section.entries[index];
         if (route.methods.empty()) {
-            claim(route, "", index);
+            addMatch(route, "", index);
         }
         for (const std::string &method : route.methods) {
-            claim(route, method, index);
+            addMatch(route, method, index);
         }
         if (route.retention < route.deadline) {
             errors.add(ResultCode::ConfigContradiction,
@@ -90,13 +91,13 @@
 
 void checkBackendServers(const Merger &merged, ErrorList &errors)
 {
-    using Place = std::tuple<base::VmId, std::string, std::uint16_t>;
+    using Endpoint = std::tuple<base::VmId, std::string, std::uint16_t>;
     const Section<BackendServer> &section = merged.backendServers();
-    std::map<Place, std::size_t> owners;
+    std::map<Endpoint, std::size_t> owners;
     std::unordered_map<base::VmId, std::size_t> firstOnVm;
     for (std::size_t index = 0; index < section.entries.size(); ++index) {
         const BackendServer &server = section.entries[index];
-        const auto [owner, isNew] = owners.emplace(Place{server.vm, server.address, server.port}, index);
+        const auto [owner, isNew] = owners.emplace(Endpoint{server.vm, server.address, server.port}, index);
         if (!isNew) {
             errors.add(ResultCode::ConfigContradiction,
                        "backend server \"" + section.entries[owner->second].id.value()
@@ -106,7 +107,7 @@
         const BackendServer &first = section.entries[firstOnVm.emplace(server.vm, index).first->second];
         if (first.zone != server.zone) {
             errors.add(ResultCode::ConfigContradiction,
-                       "backend server \"" + first.id.value() + "\" puts VM \"" + server.vm.value() + "\" into zone \""
+                       "backend server \"" + first.id.value() + "\" places VM \"" + server.vm.value() + "\" in zone \""
                            + first.zone.value() + "\"",
                        merged.locate(section.name, section.origins[index], "zone"));
         }
@@ -139,7 +140,7 @@
     for (std::size_t index = 0; index < services.entries.size(); ++index) {
         if (!served.contains(services.entries[index].id.value())) {
             warnings.add(ResultCode::Ok,
-                         "the service has no backend server that takes work",
+                         "the service has no backend server that accepts requests",
                          merged.locate(services.name, services.origins[index], ""));
         }
     }
--- a/src/config/crosscheck.h
+++ b/src/config/crosscheck.h
@@ -5,12 +5,14 @@
 
 namespace papayastep::config {
 
-/// What can only be seen over all entries together: references, keys and routes that stand twice, servers at one
-/// address, VMs in two zones. References are left out where `complete` is false, since a file that could not be read
-/// would make each reference into it look wrong.
+/// Reports errors that involve several entries: unknown references, duplicate keys and routes, backend servers with the
+/// same address, VMs in two zones. Also reports a retention that is shorter than the deadline. References are not
+/// checked if `complete` is false, because each reference to an entry in a file that could not be read would be
+/// reported as unknown.
 void crossCheck(const Merger &merged, bool complete, ErrorList &errors);
 
-/// What is valid but seldom meant.
+/// Reports entries that are valid but rarely intended: services without backend servers that accept requests, and
+/// workspaces without keys.
 void findWarnings(const Merger &merged, ErrorList &warnings);
 
 }
--- a/src/config/diff.cpp
+++ b/src/config/diff.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::ordered_json;
 
-/// The fields of `entry` that `other` has not, or has otherwise.
+/// Returns the fields of `entry` that `other` lacks or has with another value, as JSON.
 std::string differingFields(const ordered_json &entry, const ordered_json &other)
 {
     ordered_json fields = ordered_json::object();
@@ -20,34 +20,34 @@
     return fields.dump();
 }
 
-/// Both are sorted by id, so one walk finds all.
+/// Appends the differences to `changes`. Both vectors are sorted by id, so one pass finds all of them.
 template<typename Entry>
 void diffSection(const std::string &section,
                  const std::vector<Entry> &from,
                  const std::vector<Entry> &to,
                  std::vector<Change> &changes)
 {
-    auto old = from.begin();
-    auto now = to.begin();
-    while (old != from.end() || now != to.end()) {
-        if (now == to.end() || (old != from.end() && old->id < now->id)) {
-            changes.push_back({ChangeKind::Removed, section, old->id.value(), writeEntry(*old).dump(), {}});
-            ++old;
-        } else if (old == from.end() || now->id < old->id) {
-            changes.push_back({ChangeKind::Added, section, now->id.value(), {}, writeEntry(*now).dump()});
-            ++now;
+    auto oldEntry = from.begin();
+    auto newEntry = to.begin();
+    while (oldEntry != from.end() || newEntry != to.end()) {
+        if (newEntry == to.end() || (oldEntry != from.end() && oldEntry->id < newEntry->id)) {
+            changes.push_back({ChangeKind::Removed, section, oldEntry->id.value(), writeEntry(*oldEntry).dump(), {}});
+            ++oldEntry;
+        } else if (oldEntry == from.end() || newEntry->id < oldEntry->id) {
+            changes.push_back({ChangeKind::Added, section, newEntry->id.value(), {}, writeEntry(*newEntry).dump()});
+            ++newEntry;
         } else {
-            if (*old != *now) {
-                const ordered_json before = writeEntry(*old);
-                const ordered_json after = writeEntry(*now);
+            if (*oldEntry != *newEntry) {
+                const ordered_json before = writeEntry(*oldEntry);
+                const ordered_json after = writeEntry(*newEntry);
                 changes.push_back({ChangeKind::Changed,
                                    section,
-                                   now->id.value(),
+                                   newEntry->id.value(),
                                    differingFields(before, after),
                                    differingFields(after, before)});
             }
-            ++old;
-            ++now;
+            ++oldEntry;
+            ++newEntry;
         }
     }
 }
--- a/src/config/diff_test.cpp
+++ b/src/config/diff_test.cpp
@@ -29,7 +29,7 @@
     BOOST_TEST(diff(*before, *buildConfiguration(2, files)).empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(diff_ofOverride_namesOnlyTheFieldsThatDiffer, DiffFixture)
+BOOST_FIXTURE_TEST_CASE(diff_ofOverride_containsOnlyTheFieldsThatDiffer, DiffFixture)
 {
     const auto after = with(R"({"backendServers":[{"id":"counter-3","override":true,"drain":true}]})");
     const auto changes = diff(*before, *after);
@@ -46,7 +46,7 @@
     BOOST_TEST((diff(*after, *before).at(0).kind == ChangeKind::Removed));
 }
 
-BOOST_FIXTURE_TEST_CASE(mergedJson_readBack_isTheSameConfiguration, DiffFixture)
+BOOST_FIXTURE_TEST_CASE(mergedJson_readBack_equalsTheConfiguration, DiffFixture)
 {
     const auto again = buildConfiguration(1, {{"all.json", toJson(*before)}});
     BOOST_TEST(diff(*before, *again).empty());
--- a/src/config/duration.cpp
+++ b/src/config/duration.cpp
@@ -23,8 +23,8 @@
 std::optional<base::Duration> parseDuration(std::string_view text)
 {
     std::int64_t count = 0;
-    const auto [rest, problem] = std::from_chars(text.data(), text.data() + text.size(), count);
-    if (problem != std::errc() || text.front() == '-') {
+    const auto [rest, error] = std::from_chars(text.data(), text.data() + text.size(), count);
+    if (error != std::errc() || text.front() == '-') {
         return std::nullopt;
     }
     text.remove_prefix(static_cast<std::size_t>(rest - text.data()));
--- a/src/config/entryreader.cpp
+++ b/src/config/entryreader.cpp
@@ -42,8 +42,9 @@
         return;
     }
     into = base::Identifier<Tag>(field->get<std::string>());
-    if (!isGoodIdentifier(into.value())) {
-        context.fail(ResultCode::ConfigSchema, name, "use letters, digits, '.', '_' and '-' only");
+    if (!isValidIdentifier(into.value())) {
+        context.fail(
+            ResultCode::ConfigSchema, name, "an identifier may contain only letters, digits, '.', '_' and '-'");
     }
 }
 
@@ -56,42 +57,44 @@
     }
     const auto duration = parseDuration(field->get_ref<const std::string &>());
     if (!duration) {
-        context.fail(ResultCode::ConfigSchema, name, "use a whole number and a unit: ms, s, m or h");
+        context.fail(ResultCode::ConfigSchema, name, "a duration must be a whole number with a unit: ms, s, m or h");
         return;
     }
     into = *duration;
     if (into <= base::Duration::zero() || into > longest) {
-        context.fail(ResultCode::ConfigOutOfRange, name, "use more than 0 and at most " + formatDuration(longest));
+        context.fail(ResultCode::ConfigOutOfRange,
+                     name,
+                     "the duration must be greater than 0 and at most " + formatDuration(longest));
     }
 }
 
-/// Calls `take` with each fingerprint of the list `name` and its place.
-template<typename Take>
-void forEachKey(const json &entry, const char *name, const EntryContext &context, const Take &take)
+/// Calls `handle` with each fingerprint in the list `name` and the path of the fingerprint within the entry.
+template<typename Handler>
+void forEachKey(const json &entry, const char *name, const EntryContext &context, const Handler &handle)
 {
     const json *field = fieldOf(entry, name);
     for (std::size_t index = 0; field && index < field->size(); ++index) {
-        const std::string place = std::string(name) + "/" + std::to_string(index);
+        const std::string fieldPath = std::string(name) + "/" + std::to_string(index);
         try {
-            take(KeyFingerprint::parse((*field)[index].get_ref<const std::string &>()), place);
+            handle(KeyFingerprint::parse((*field)[index].get_ref<const std::string &>()), fieldPath);
         } catch (const base::Error &error) {
-            context.fail(error.code(), place, error.detail());
+            context.fail(error.code(), fieldPath, error.detail());
         }
     }
 }
 
 void readKeys(const json &entry, KeyFingerprints &keys, const EntryContext &context)
 {
-    const auto add = [&](const KeyFingerprint &key, const std::string &place) {
+    const auto add = [&](const KeyFingerprint &key, const std::string &fieldPath) {
         if (std::find(keys.begin(), keys.end(), key) != keys.end()) {
-            context.fail(ResultCode::ConfigDuplicate, place, "the workspace has this key already");
+            context.fail(ResultCode::ConfigDuplicate, fieldPath, "the workspace already has this key");
         }
         keys.push_back(key);
     };
-    const auto withdraw = [&](const KeyFingerprint &key, const std::string &place) {
+    const auto withdraw = [&](const KeyFingerprint &key, const std::string &fieldPath) {
         const auto found = std::find(keys.begin(), keys.end(), key);
         if (found == keys.end()) {
-            context.fail(ResultCode::ConfigUnknownReference, place, "the workspace has no such key");
+            context.fail(ResultCode::ConfigUnknownReference, fieldPath, "the workspace has no such key");
         } else {
             keys.erase(found);
         }
@@ -102,7 +105,7 @@
     }
     for (const char *name : {"addKeys", "withdrawKeys"}) {
         if (fieldOf(entry, name) && !entry.value("override", false)) {
-            context.fail(ResultCode::ConfigContradiction, name, "this needs \"override\": true");
+            context.fail(ResultCode::ConfigContradiction, name, "this field requires \"override\": true");
         }
     }
     forEachKey(entry, "keys", context, add);
@@ -115,8 +118,9 @@
     return character > ' ' && character < 127 && character != '?' && character != '#' && character != '\\';
 }
 
-/// A prefix with "//", "." or ".." or a final slash would match other requests than the operator reads out of it.
-bool isGoodPathPrefix(const std::string &path)
+/// Whether `path` is a valid path prefix. A prefix with "//", "." or ".." or a trailing slash would match other
+/// requests than the operator expects.
+bool isValidPathPrefix(const std::string &path)
 {
     if (path == "/") {
         return true;
@@ -124,9 +128,9 @@
     if (!path.starts_with('/') || path.ends_with('/') || !std::all_of(path.begin(), path.end(), isPathCharacter)) {
         return false;
     }
-    const std::string closed = path + '/';
-    return closed.find("//") == std::string::npos && closed.find("/./") == std::string::npos
-        && closed.find("/../") == std::string::npos;
+    const std::string terminated = path + '/';
+    return terminated.find("//") == std::string::npos && terminated.find("/./") == std::string::npos
+        && terminated.find("/../") == std::string::npos;
 }
 
 void readPath(const json &entry, const char *name, std::string &into, const EntryContext &context)
@@ -136,8 +140,9 @@
         return;
     }
     into = field->get<std::string>();
-    if (!into.empty() && !isGoodPathPrefix(into)) {
-        context.fail(ResultCode::ConfigSchema, name, "use a plain path such as /refunds, without a final slash");
+    if (!into.empty() && !isValidPathPrefix(into)) {
+        context.fail(
+            ResultCode::ConfigSchema, name, "the path must be a plain path such as /refunds, without a trailing slash");
     }
 }
 
@@ -155,7 +160,7 @@
     }
     into = field->get<std::string>();
     if (!std::all_of(into.begin(), into.end(), isHostCharacter)) {
-        context.fail(ResultCode::ConfigSchema, "host", "use a lower-case host name without a port");
+        context.fail(ResultCode::ConfigSchema, "host", "the host must be a lower-case host name without a port");
     }
 }
 
@@ -164,7 +169,7 @@
     read(entry, "methods", into);
     std::sort(into.begin(), into.end());
     if (std::adjacent_find(into.begin(), into.end()) != into.end()) {
-        context.fail(ResultCode::ConfigDuplicate, "methods", "a method stands twice");
+        context.fail(ResultCode::ConfigDuplicate, "methods", "a method is listed twice");
     }
     into.shrink_to_fit();
 }
@@ -197,10 +202,10 @@
         return;
     }
     into = field->get<std::string>();
-    boost::system::error_code problem;
-    boost::asio::ip::make_address(into, problem);
-    if (problem) {
-        context.fail(ResultCode::ConfigSchema, "address", "use an IP number");
+    boost::system::error_code error;
+    boost::asio::ip::make_address(into, error);
+    if (error) {
+        context.fail(ResultCode::ConfigSchema, "address", "the address must be an IP address");
     }
 }
 
@@ -330,13 +335,13 @@
     return fields;
 }
 
-bool isGoodIdentifier(const std::string &name)
+bool isValidIdentifier(const std::string &name)
 {
-    const auto good = [](unsigned char character) {
+    const auto isValidCharacter = [](unsigned char character) {
         return character < 128
             && (std::isalnum(character) != 0 || character == '.' || character == '_' || character == '-');
     };
-    return !name.empty() && std::all_of(name.begin(), name.end(), good);
+    return !name.empty() && std::all_of(name.begin(), name.end(), isValidCharacter);
 }
 
 }
--- a/src/config/entryreader.h
+++ b/src/config/entryreader.h
@@ -12,7 +12,7 @@
 
 namespace papayastep::config {
 
-/// Where an entry stands, by its fields; and the way to say that one of them is wrong.
+/// The location of an entry, by file, section and index. Used to report errors in the fields of the entry.
 class EntryContext
 {
 public:
@@ -24,6 +24,7 @@
     {
     }
 
+    /// Adds an error for `field`, or for the whole entry if `field` is empty.
     void fail(base::ResultCode code, std::string_view field, const std::string &detail) const;
 
 private:
@@ -33,29 +34,31 @@
     std::size_t m_index;
 };
 
-/// JSON pointer to `field` of an entry, or to the entry where `field` is empty.
+/// Returns the JSON pointer to `field` of an entry, or to the entry if `field` is empty.
 std::string entryPointer(std::string_view section, std::size_t index, std::string_view field);
 
-/// Each sets the fields that stand in `json` and leaves the others, so that the same function reads a new entry and
-/// an override. What the schema can't say (units, formats) is checked here. `json` has passed the schema.
+/// These functions set the fields that are present in `json` and keep the others, so that the same function reads new
+/// entries and overrides. They check what the schema cannot express, such as units and formats. `json` must already
+/// match the schema.
 void readEntry(const nlohmann::json &json, Workspace &into, const EntryContext &context);
 void readEntry(const nlohmann::json &json, Service &into, const EntryContext &context);
 void readEntry(const nlohmann::json &json, Route &into, const EntryContext &context);
 void readEntry(const nlohmann::json &json, BackendServer &into, const EntryContext &context);
 
-/// The object "limits" of a file; fields that it does not name are left.
+/// Reads the object "limits" of a file. Fields that it does not contain keep their values.
 void readLimits(const nlohmann::json &json, CallerLimits &into, const EntryContext &context);
 
-/// Whether another field of `json` makes the required `field` needless.
+/// Whether another field of `json` replaces the required `field`, such as "split" instead of "service".
 bool isReplaced(const nlohmann::json &json, std::string_view field);
 
-/// Fields that an entry must name unless it is an override.
+/// Returns the fields that an entry must have unless it is an override.
 std::span<const std::string_view> requiredFields(const Workspace &);
 std::span<const std::string_view> requiredFields(const Service &);
 std::span<const std::string_view> requiredFields(const Route &);
 std::span<const std::string_view> requiredFields(const BackendServer &);
 
-/// Whether `name` may name a thing: letters, digits, '.', '_' and '-', so that it is safe in logs, URLs and headers.
-bool isGoodIdentifier(const std::string &name);
+/// Whether `name` is a valid identifier. It may contain only letters, digits, '.', '_' and '-', so that it is safe in
+/// logs, URLs and headers.
+bool isValidIdentifier(const std::string &name);
 
 }
--- a/src/config/errorlist.h
+++ b/src/config/errorlist.h
@@ -9,7 +9,7 @@
 
 namespace papayastep::config {
 
-/// Collects what is wrong, up to a limit, so that an operator sees all of it in one run.
+/// Collects errors up to a limit, so that an operator sees all of them in one run. Further errors are dropped.
 class ErrorList
 {
 public:
--- a/src/config/errors_test.cpp
+++ b/src/config/errors_test.cpp
@@ -13,27 +13,27 @@
 
 namespace {
 
-const std::string goodBase = R"({
+const std::string validBase = R"({
     "workspaces":[{"id":"w","keys":["sha256:)"
     + std::string(64, 'a') + R"("],"rate":5,"burst":10}],
     "services":[{"id":"s","floor":0.5}],
     "routes":[{"id":"r","pathPrefix":"/r","methods":["GET"],"service":"s"}],
     "backendServers":[{"id":"b","service":"s","vm":"vm-1","zone":"a","address":"127.0.0.1","port":9001,"slots":2}]})";
 
-/// One drop-in beside the good base, and the only error that the check must report for it.
-struct BadDropIn
+/// An invalid drop-in that is added to the valid base file, and the only error that the check must report for it.
+struct InvalidDropIn
 {
     std::string text;
     ResultCode code;
     std::string pointer;
 };
 
-std::ostream &operator<<(std::ostream &stream, const BadDropIn &dropIn)
+std::ostream &operator<<(std::ostream &stream, const InvalidDropIn &dropIn)
 {
     return stream << dropIn.text;
 }
 
-const std::vector<BadDropIn> badDropIns{
+const std::vector<InvalidDropIn> invalidDropIns{
     {"{", ResultCode::ConfigNotJson, ""},
     {"", ResultCode::ConfigNotJson, ""},
     {"\xff", ResultCode::ConfigNotJson, ""},
@@ -146,25 +146,26 @@
 
 ResultCode codeOfFile(const std::string &name)
 {
-    const auto errors = checkFiles({{"10-base.json", goodBase}, {name, "{}"}});
+    const auto errors = checkFiles({{"10-base.json", validBase}, {name, "{}"}});
     return errors.empty() ? ResultCode::Ok : errors.front().code();
 }
 
 }
 
-// An operator makes one mistake in a drop-in. The check must name it, its file and its place, and nothing else.
-BOOST_DATA_TEST_CASE(check_ofBadDropIn_namesTheOnlyError, boost::unit_test::data::make(badDropIns), dropIn)
+// An operator makes one mistake in a drop-in. The check must report exactly this error, with its file and JSON pointer.
+// Guards against missed errors, wrong locations and consequential errors.
+BOOST_DATA_TEST_CASE(check_ofInvalidDropIn_reportsOnlyThatError, boost::unit_test::data::make(invalidDropIns), dropIn)
 {
-    const auto errors = checkFiles({{"10-base.json", goodBase}, {"90-drop-in.json", dropIn.text}});
+    const auto errors = checkFiles({{"10-base.json", validBase}, {"90-drop-in.json", dropIn.text}});
     BOOST_REQUIRE_EQUAL(errors.size(), 1u);
     BOOST_TEST(base::number(errors[0].code()) == base::number(dropIn.code), errors[0].what());
     BOOST_TEST(errors[0].location().file == "90-drop-in.json");
     BOOST_TEST(errors[0].location().pointer == dropIn.pointer);
 }
 
-BOOST_AUTO_TEST_CASE(check_ofGoodBase_findsNothing)
+BOOST_AUTO_TEST_CASE(check_ofValidBase_reportsNoErrors)
 {
-    BOOST_TEST(checkFiles({{"10-base.json", goodBase}}).empty());
+    BOOST_TEST(checkFiles({{"10-base.json", validBase}}).empty());
 }
 
 BOOST_AUTO_TEST_CASE(check_ofSeveralMistakes_reportsAll)
@@ -175,15 +176,16 @@
     BOOST_TEST(errors.size() == 4u);
 }
 
-// A folder is published before its files are in it. Taken as valid it would switch off every workspace.
-BOOST_AUTO_TEST_CASE(check_ofNoFilesOrEmptyFiles_isRefused)
+// A folder is published before it contains any files. Guards against accepting it as valid, which would disable every
+// workspace.
+BOOST_AUTO_TEST_CASE(check_ofNoFilesOrEmptyFiles_isRejected)
 {
     BOOST_TEST((checkFiles({}).at(0).code() == ResultCode::ConfigFolderEmpty));
     BOOST_TEST((checkFiles({{"a.json", "{}"}}).at(0).code() == ResultCode::ConfigFolderEmpty));
     BOOST_CHECK_THROW(buildConfiguration(1, {}), base::Error);
 }
 
-BOOST_AUTO_TEST_CASE(check_ofFileNames_takesOnlyPlainOnes)
+BOOST_AUTO_TEST_CASE(check_ofFileNames_acceptsOnlyValidOnes)
 {
     BOOST_TEST((codeOfFile("90-x.json") == ResultCode::Ok));
     BOOST_TEST((codeOfFile("10-base.json") == ResultCode::ConfigDuplicate));
@@ -193,43 +195,44 @@
     BOOST_TEST((codeOfFile(std::string(200, 'a') + ".json") == ResultCode::ConfigFileName));
 }
 
-// An operator withdraws a key by a drop-in that names only the key list.
+// An operator withdraws a key with a drop-in that contains only the list of keys. Guards against a key that remains
+// valid and against a changed rate.
 BOOST_AUTO_TEST_CASE(override_ofKeys_withdrawsThemAndKeepsTheRate)
 {
     const auto configuration = buildConfiguration(
-        1, {{"10-base.json", goodBase}, {"90-k.json", R"({"workspaces":[{"id":"w","override":true,"keys":[]}]})"}});
+        1, {{"10-base.json", validBase}, {"90-k.json", R"({"workspaces":[{"id":"w","override":true,"keys":[]}]})"}});
     BOOST_TEST(!configuration->workspaceOfKey(KeyFingerprint::parse(std::string(64, 'a'))));
     BOOST_TEST(configuration->workspace(base::WorkspaceId("w"))->rate == 5);
 }
 
 BOOST_AUTO_TEST_CASE(override_withAddedAndWithdrawnKeys_changesOnlyThose)
 {
-    const auto drop = [](const std::string &field, char digit) {
+    const auto dropIn = [](const std::string &field, char digit) {
         return R"({"workspaces":[{"id":"w","override":true,")" + field + R"(":["sha256:)" + std::string(64, digit)
             + R"("]}]})";
     };
     const auto configuration = buildConfiguration(1,
-                                                  {{"10-base.json", goodBase},
-                                                   {"50-add.json", drop("addKeys", 'b')},
-                                                   {"51-add.json", drop("addKeys", 'c')},
-                                                   {"60-withdraw.json", drop("withdrawKeys", 'b')}});
+                                                  {{"10-base.json", validBase},
+                                                   {"50-add.json", dropIn("addKeys", 'b')},
+                                                   {"51-add.json", dropIn("addKeys", 'c')},
+                                                   {"60-withdraw.json", dropIn("withdrawKeys", 'b')}});
     BOOST_TEST(configuration->workspaceOfKey(KeyFingerprint::parse(std::string(64, 'a'))));
     BOOST_TEST(!configuration->workspaceOfKey(KeyFingerprint::parse(std::string(64, 'b'))));
     BOOST_TEST(configuration->workspaceOfKey(KeyFingerprint::parse(std::string(64, 'c'))));
 }
 
-BOOST_AUTO_TEST_CASE(override_ofOverride_followsTheOrderOfNames)
+BOOST_AUTO_TEST_CASE(override_ofOverride_isAppliedInOrderOfNames)
 {
     const std::vector<ConfigurationFile> files{
         {"91-b.json", R"({"backendServers":[{"id":"b","override":true,"drain":false}]})"},
-        {"10-base.json", goodBase},
+        {"10-base.json", validBase},
         {"90-a.json", R"({"backendServers":[{"id":"b","override":true,"drain":true}]})"}};
     BOOST_TEST(!buildConfiguration(1, files)->backendServer(base::BackendServerId("b"))->drain);
 }
 
 BOOST_AUTO_TEST_CASE(check_ofServiceWithoutServers_warns)
 {
-    const auto result = check(1, {{"10-base.json", goodBase}, {"20-s.json", R"({"services":[{"id":"idle"}]})"}});
+    const auto result = check(1, {{"10-base.json", validBase}, {"20-s.json", R"({"services":[{"id":"idle"}]})"}});
     BOOST_TEST(result.errors.empty());
     BOOST_REQUIRE_EQUAL(result.warnings.size(), 1u);
     BOOST_TEST(result.warnings[0].location().pointer == "/services/0");
--- a/src/config/fileparser.cpp
+++ b/src/config/fileparser.cpp
@@ -14,7 +14,7 @@
 using nlohmann::json;
 
 constexpr std::size_t maxNameBytes = 128;
-constexpr std::size_t maxDepth = 16;
+constexpr std::size_t maxDepth = 16; ///< Maximum nesting depth of objects and arrays.
 constexpr std::string_view suffix = ".json";
 
 bool isNameCharacter(char character)
@@ -23,50 +23,53 @@
         || (character >= '0' && character <= '9') || character == '-' || character == '_' || character == '.';
 }
 
-/// A name becomes part of a URL and of log lines, and its order decides the merge.
-bool isGoodName(const std::string &name)
+/// Whether `name` is a valid file name. Names are used in URLs and log lines, and files are merged in the order of
+/// their names.
+bool isValidFileName(const std::string &name)
 {
     return name.size() > suffix.size() && name.size() <= maxNameBytes && name.ends_with(suffix) && name.front() != '.'
         && name.front() != '-' && std::all_of(name.begin(), name.end(), isNameCharacter);
 }
 
-/// The keys seen in one object, as hashes: most objects have a handful, and there are hundreds of thousands of them.
+/// The keys of one object, as hashes. A large configuration has hundreds of thousands of objects, most of them with a
+/// handful of keys, so the first keys are kept in a vector and only further ones in a hash set.
 class KeySet
 {
 public:
-    /// Whether `key` is new. Remembers it.
+    /// Adds `key` and returns whether it is new.
     bool insert(std::string_view key)
     {
         const std::uint64_t hash = base::stableHash(key);
-        if (m_few.size() < manyKeys) {
-            if (std::find(m_few.begin(), m_few.end(), hash) != m_few.end()) {
+        if (m_listedKeys.size() < maxListedKeys) {
+            if (std::find(m_listedKeys.begin(), m_listedKeys.end(), hash) != m_listedKeys.end()) {
                 return false;
             }
-            m_few.push_back(hash);
+            m_listedKeys.push_back(hash);
             return true;
         }
-        return std::find(m_few.begin(), m_few.end(), hash) == m_few.end() && m_many.insert(hash).second;
+        return std::find(m_listedKeys.begin(), m_listedKeys.end(), hash) == m_listedKeys.end()
+            && m_furtherKeys.insert(hash).second;
     }
     void clear()
     {
-        m_few.clear();
-        m_many.clear();
+        m_listedKeys.clear();
+        m_furtherKeys.clear();
     }
 
 private:
-    static constexpr std::size_t manyKeys = 16;
+    static constexpr std::size_t maxListedKeys = 16;
 
-    std::vector<std::uint64_t> m_few;
-    std::unordered_set<std::uint64_t> m_many;
+    std::vector<std::uint64_t> m_listedKeys;
+    std::unordered_set<std::uint64_t> m_furtherKeys;
 };
 
-/// Walks a text for keys that stand twice in one object, before it is parsed. JSON libraries keep the last one
-/// silently, so an operator who pastes a second "rate" would see the first in the file and the other one in force.
-/// A pass of its own takes half the time of the library's parser with a callback.
-class DuplicateKeyWatch final : public nlohmann::json_sax<json>
+/// Checks a text for keys that occur twice in one object, before it is parsed. JSON libraries silently keep the last
+/// one, so an operator who pastes a second "rate" would see the first one in the file while the second one is in force.
+/// A separate pass takes half the time of the library's parser with a callback.
+class DuplicateKeyChecker final : public nlohmann::json_sax<json>
 {
 public:
-    DuplicateKeyWatch(const std::string &file, ErrorList &errors)
+    DuplicateKeyChecker(const std::string &file, ErrorList &errors)
         : m_file(file)
         , m_errors(errors)
     {
@@ -102,26 +105,26 @@
     }
     bool start_object(std::size_t) override
     {
-        return enter(false);
+        return enterContainer(false);
     }
     bool start_array(std::size_t) override
     {
-        return enter(true);
+        return enterContainer(true);
     }
     bool end_object() override
     {
-        return leave();
+        return leaveContainer();
     }
     bool end_array() override
     {
-        return leave();
+        return leaveContainer();
     }
     bool key(string_t &key) override
     {
         Level &level = m_levels[m_depth - 1];
         level.key = key;
         if (!level.keys.insert(key)) {
-            m_errors.add(base::ResultCode::ConfigDuplicate, "the key stands twice in one object", {m_file, pointer()});
+            m_errors.add(base::ResultCode::ConfigDuplicate, "the key occurs twice in one object", {m_file, pointer()});
         }
         return true;
     }
@@ -143,10 +146,12 @@
         KeySet keys;
     };
 
-    bool enter(bool isArray)
+    bool enterContainer(bool isArray)
     {
         if (m_depth == maxDepth) {
-            m_errors.add(base::ResultCode::ConfigSchema, "nested too deeply", {m_file, pointer()});
+            m_errors.add(base::ResultCode::ConfigSchema,
+                         "objects and arrays are nested more than 16 levels deep",
+                         {m_file, pointer()});
             return false;
         }
         Level &level = m_levels[m_depth++];
@@ -156,7 +161,7 @@
         return true;
     }
 
-    bool leave()
+    bool leaveContainer()
     {
         --m_depth;
         return finishValue();
@@ -182,15 +187,15 @@
 
     const std::string &m_file;
     ErrorList &m_errors;
-    std::array<Level, maxDepth> m_levels; ///< Reused, so that a key costs no allocation.
+    std::array<Level, maxDepth> m_levels; ///< Reused for all objects, so that a key needs no allocation.
     std::size_t m_depth = 0;
 };
 
 std::optional<json> parseText(const ConfigurationFile &file, ErrorList &errors)
 {
     const std::size_t before = errors.size();
-    DuplicateKeyWatch watch(file.name, errors);
-    if (!json::sax_parse(file.text, &watch) || errors.size() != before) {
+    DuplicateKeyChecker checker(file.name, errors);
+    if (!json::sax_parse(file.text, &checker) || errors.size() != before) {
         return std::nullopt;
     }
     return json::parse(file.text);
@@ -200,15 +205,15 @@
 
 std::optional<json> parseFile(const ConfigurationFile &file, ErrorList &errors)
 {
-    if (!isGoodName(file.name)) {
+    if (!isValidFileName(file.name)) {
         errors.add(base::ResultCode::ConfigFileName,
-                   "use letters, digits, '.', '_' and '-', at most 128 of them, and the ending .json",
+                   "a file name must end in .json and have at most 128 characters: letters, digits, '.', '_' and '-'",
                    {file.name, {}});
         return std::nullopt;
     }
     if (file.text.size() > maxFileBytes) {
         errors.add(base::ResultCode::ConfigValueTooLarge,
-                   "the platform holds at most " + std::to_string(maxFileBytes) + " bytes; split the file",
+                   "the platform stores at most " + std::to_string(maxFileBytes) + " bytes per file; split the file",
                    {file.name, {}});
         return std::nullopt;
     }
--- a/src/config/fileparser.h
+++ b/src/config/fileparser.h
@@ -10,8 +10,8 @@
 
 namespace papayastep::config {
 
-/// The JSON of one file, or nothing after adding the reasons to `errors`: a bad name, too many bytes, broken JSON, a
-/// number that no double holds, or a key that stands twice in one object.
+/// Returns the JSON of one file. For an invalid name, a file that is too large, invalid JSON, a number that is out of
+/// the range of a double, or a key that occurs twice in one object, returns nullopt and adds the reasons to `errors`.
 std::optional<nlohmann::json> parseFile(const ConfigurationFile &file, ErrorList &errors);
 
 }
--- a/src/config/folder.cpp
+++ b/src/config/folder.cpp
@@ -16,17 +16,18 @@
     throw base::Error(base::ResultCode::ConfigFileUnreadable, detail, {file, {}});
 }
 
-/// Reads one byte more than a file may have, so that the check refuses a huge one without holding all of it.
+/// Reads at most one byte more than a file may have, so that validation rejects a file that is too large without
+/// reading all of it into memory.
 std::string readText(const std::filesystem::path &path, const std::string &name)
 {
     std::ifstream stream(path, std::ios::binary);
     if (!stream) {
-        throwUnreadable("cannot open it", name);
+        throwUnreadable("cannot open the file", name);
     }
     std::string text(maxFileBytes + 1, '\0');
     stream.read(text.data(), static_cast<std::streamsize>(text.size()));
     if (stream.bad()) {
-        throwUnreadable("cannot read it", name);
+        throwUnreadable("cannot read the file", name);
     }
     text.resize(static_cast<std::size_t>(stream.gcount()));
     text.shrink_to_fit();
@@ -37,10 +38,10 @@
 
 std::vector<ConfigurationFile> readFolder(const std::filesystem::path &folder)
 {
-    std::error_code problem;
-    std::filesystem::directory_iterator entries(folder, problem);
-    if (problem) {
-        throwUnreadable(folder.string() + ": " + problem.message());
+    std::error_code error;
+    std::filesystem::directory_iterator entries(folder, error);
+    if (error) {
+        throwUnreadable(folder.string() + ": " + error.message());
     }
     std::vector<ConfigurationFile> files;
     for (const std::filesystem::directory_entry &entry : entries) {
@@ -48,8 +49,8 @@
         if (name.starts_with('.')) {
             continue;
         }
-        if (!entry.is_regular_file(problem)) {
-            throwUnreadable("it is not a plain file", name);
+        if (!entry.is_regular_file(error)) {
+            throwUnreadable("this is not a regular file", name);
         }
         files.push_back({name, readText(entry.path(), name)});
     }
--- a/src/config/idindex.h
+++ b/src/config/idindex.h
@@ -8,27 +8,28 @@
 
 namespace papayastep::config {
 
-/// From an id to the place of its entry, by open addressing. One flat array: the nodes of a hash map would lie between
-/// the strings of the entries, and stay as holes in a node's memory once the merge is over.
+/// A hash table with open addressing that maps an id to the position of its entry. It is one flat array, because the
+/// nodes of a hash map would be allocated between the strings of the entries and leave the memory of a node fragmented
+/// after the merge.
 template<typename Entry>
 class IdIndex
 {
 public:
-    static constexpr std::uint32_t none = 0;
+    static constexpr std::uint32_t none = 0; ///< Result of find() for an unknown id, and value of an empty slot.
 
-    /// The place of the entry called `id` plus one, or none.
+    /// Returns the index of the entry with `id` plus one, or none.
     std::uint32_t find(std::string_view id, const std::vector<Entry> &entries) const
     {
         return m_slots.empty() ? none : m_slots[slotOf(id, entries)];
     }
 
-    /// Notes the last of `entries`, whose id is new.
-    void noteLast(const std::vector<Entry> &entries)
+    /// Adds the last entry of `entries`, whose id must be new.
+    void insertLast(const std::vector<Entry> &entries)
     {
         if (entries.size() * 2 > m_slots.size()) {
             rebuild(entries);
         } else {
-            note(entries, entries.size());
+            insert(entries, entries.size());
         }
     }
 
@@ -43,7 +44,7 @@
         return slot;
     }
 
-    void note(const std::vector<Entry> &entries, std::size_t count)
+    void insert(const std::vector<Entry> &entries, std::size_t count)
     {
         m_slots[slotOf(entries[count - 1].id.value(), entries)] = static_cast<std::uint32_t>(count);
     }
@@ -52,11 +53,11 @@
     {
         m_slots.assign(m_slots.empty() ? 16 : m_slots.size() * 2, none);
         for (std::size_t count = 1; count <= entries.size(); ++count) {
-            note(entries, count);
+            insert(entries, count);
         }
     }
 
-    std::vector<std::uint32_t> m_slots;
+    std::vector<std::uint32_t> m_slots; ///< Index of the entry plus one, or none.
 };
 
 }
--- a/src/config/keyfingerprint.cpp
+++ b/src/config/keyfingerprint.cpp
@@ -25,9 +25,10 @@
     if (text.starts_with(algorithmPrefix)) {
         text.remove_prefix(algorithmPrefix.size());
     }
-    // The text may be a key that somebody pasted in the fingerprint's place, so it never goes into the error.
+    // The text may be a key that was pasted instead of the fingerprint, so the error never contains it.
     if (text.size() != 2 * byteCount || !std::all_of(text.begin(), text.end(), isLowerHex)) {
-        throw base::Error(base::ResultCode::ConfigSchema, "a key fingerprint is sha256: and 64 lower-case hex digits");
+        throw base::Error(base::ResultCode::ConfigSchema,
+                          "a key fingerprint must be sha256: and 64 lower-case hexadecimal digits");
     }
     Bytes bytes{};
     sodium_hex2bin(bytes.data(), bytes.size(), text.data(), text.size(), nullptr, nullptr, nullptr);
--- a/src/config/merger.cpp
+++ b/src/config/merger.cpp
@@ -6,13 +6,13 @@
 
 void Merger::add(const std::string &file, const nlohmann::json &parsed)
 {
-    m_files.push_back(file);
+    m_fileNames.push_back(file);
     addSection(parsed, m_workspaces);
     addSection(parsed, m_services);
     addSection(parsed, m_routes);
     addSection(parsed, m_backendServers);
     if (const auto limits = parsed.find("limits"); limits != parsed.end()) {
-        readLimits(*limits, m_limits, EntryContext(m_errors, m_files.back(), "limits", 0));
+        readLimits(*limits, m_limits, EntryContext(m_errors, m_fileNames.back(), "limits", 0));
     }
 }
 
@@ -38,7 +38,7 @@
 template<typename Entry>
 void Merger::define(const nlohmann::json &json, Section<Entry> &section, std::uint32_t index)
 {
-    const EntryContext context(m_errors, m_files.back(), section.name, index);
+    const EntryContext context(m_errors, m_fileNames.back(), section.name, index);
     Entry entry;
     for (const std::string_view field : requiredFields(entry)) {
         if (!json.contains(field) && !isReplaced(json, field)) {
@@ -51,27 +51,27 @@
         const Origin first = section.origins[found - 1];
         context.fail(ResultCode::ConfigDuplicate,
                      "id",
-                     "\"" + entry.id.value() + "\" stands in " + m_files[first.file]
-                         + " already; to change it add \"override\": true");
+                     "\"" + entry.id.value() + "\" is already defined in " + m_fileNames[first.file]
+                         + "; to change it, add \"override\": true");
         return;
     }
     section.entries.push_back(std::move(entry));
     section.origins.push_back({currentFile(), index});
-    section.index.noteLast(section.entries);
+    section.index.insertLast(section.entries);
 }
 
 template<typename Entry>
 void Merger::override(const nlohmann::json &json, Section<Entry> &section, std::uint32_t index)
 {
-    const EntryContext context(m_errors, m_files.back(), section.name, index);
+    const EntryContext context(m_errors, m_fileNames.back(), section.name, index);
     const std::uint32_t found = section.index.find(json.at("id").get_ref<const std::string &>(), section.entries);
     if (found == IdIndex<Entry>::none) {
-        context.fail(ResultCode::ConfigUnknownReference, "id", "no earlier file defines what this overrides");
+        context.fail(ResultCode::ConfigUnknownReference, "id", "no earlier file defines the entry that this overrides");
         return;
     }
     Origin &origin = section.origins[found - 1];
     if (origin.file == currentFile()) {
-        context.fail(ResultCode::ConfigContradiction, "id", "this file has an entry of the same id already");
+        context.fail(ResultCode::ConfigContradiction, "id", "this file already has an entry with the same id");
         return;
     }
     readEntry(json, section.entries[found - 1], context);
@@ -100,7 +100,7 @@
 
 base::ErrorLocation Merger::locate(std::string_view section, Origin origin, std::string_view field) const
 {
-    return {m_files[origin.file], entryPointer(section, origin.index, field)};
+    return {m_fileNames[origin.file], entryPointer(section, origin.index, field)};
 }
 
 Configuration::Parts Merger::takeParts()
@@ -114,7 +114,7 @@
 
 std::uint32_t Merger::currentFile() const
 {
-    return static_cast<std::uint32_t>(m_files.size() - 1);
+    return static_cast<std::uint32_t>(m_fileNames.size() - 1);
 }
 
 }
--- a/src/config/merger.h
+++ b/src/config/merger.h
@@ -13,22 +13,23 @@
 
 namespace papayastep::config {
 
-/// Where the last word on an entry stands.
+/// The location of the definition of an entry, or of its last override.
 struct Origin
 {
-    std::uint32_t file = 0; ///< Index into the names of the files.
-    std::uint32_t index = 0; ///< Of the entry within its section of that file.
+    std::uint32_t file = 0; ///< Index into the names of the merged files.
+    std::uint32_t index = 0; ///< Index of the entry within its section of the file.
 };
 
-/// The entries of one kind, merged so far.
+/// The entries of one kind that have been merged so far.
 template<typename Entry>
 struct Section
 {
     std::string_view name;
     std::vector<Entry> entries;
-    std::vector<Origin> origins; ///< One for each entry.
+    std::vector<Origin> origins; ///< One origin for each entry, in the same order.
     IdIndex<Entry> index;
 
+    /// Returns the entry with `id`, or null.
     const Entry *find(const std::string &id) const
     {
         const std::uint32_t found = index.find(id, entries);
@@ -36,8 +37,8 @@
     }
 };
 
-/// Merges parsed files in the order in which they are added. An id may be defined once; a later file changes an
-/// entry only with `"override": true`, which replaces the fields that it names and leaves the others.
+/// Merges parsed files in the order in which they are added. An id may be defined only once. A later file can change an
+/// entry only with `"override": true`, which replaces the fields that it contains and keeps the others.
 class Merger
 {
 public:
@@ -46,7 +47,7 @@
     {
     }
 
-    /// `parsed` has passed the schema.
+    /// Merges the file `file`, whose content `parsed` must already match the schema.
     void add(const std::string &file, const nlohmann::json &parsed);
 
     const Section<Workspace> &workspaces() const;
@@ -54,9 +55,10 @@
     const Section<Route> &routes() const;
     const Section<BackendServer> &backendServers() const;
 
+    /// Returns the file and JSON pointer of `field` of the entry at `origin`, or of the entry if `field` is empty.
     base::ErrorLocation locate(std::string_view section, Origin origin, std::string_view field) const;
 
-    /// Moves the merged entries out.
+    /// Moves the merged entries out of the merger.
     Configuration::Parts takeParts();
 
 private:
@@ -70,7 +72,7 @@
     std::uint32_t currentFile() const;
 
     ErrorList &m_errors;
-    std::vector<std::string> m_files;
+    std::vector<std::string> m_fileNames;
     Section<Workspace> m_workspaces{"workspaces", {}, {}, {}};
     Section<Service> m_services{"services", {}, {}, {}};
     Section<Route> m_routes{"routes", {}, {}, {}};
--- a/src/config/schemacheck.cpp
+++ b/src/config/schemacheck.cpp
@@ -32,7 +32,7 @@
     return *loaded;
 }
 
-/// Turns valijson's path ("<root>", "[routes]", "[3]") into a JSON pointer.
+/// Converts the path of valijson ("<root>", "[routes]", "[3]") into a JSON pointer.
 std::string pointerOf(const std::vector<std::string> &context)
 {
     nlohmann::json::json_pointer pointer;
@@ -44,8 +44,9 @@
     return pointer.to_string();
 }
 
-/// valijson also reports each array and object around a violation; only the innermost one helps.
-bool isEcho(const std::string &description)
+/// Whether `description` is that of an array or object that contains the violation. valijson reports each of them too,
+/// but only the innermost violation is useful.
+bool isEnclosingError(const std::string &description)
 {
     return description.starts_with("Failed to validate item #")
         || description.starts_with("Failed to validate against schema associated with property name");
@@ -73,7 +74,7 @@
     }
     valijson::ValidationResults::Error violation;
     while (results.popError(violation)) {
-        if (!isEcho(violation.description)) {
+        if (!isEnclosingError(violation.description)) {
             errors.add(codeOf(violation.description), violation.description, {file, pointerOf(violation.context)});
         }
     }
--- a/src/config/schemacheck.h
+++ b/src/config/schemacheck.h
@@ -8,8 +8,8 @@
 
 namespace papayastep::config {
 
-/// Checks one parsed file against the embedded schema, in time linear in its size. Adds each violation to `errors`.
-/// Returns whether there was none.
+/// Validates a parsed file against the embedded schema, in time linear in its size. Adds each violation to `errors`,
+/// and returns whether there is none.
 bool checkSchema(const nlohmann::json &parsed, const std::string &file, ErrorList &errors);
 
 }
--- a/src/include/papayastep/config/check.h
+++ b/src/include/papayastep/config/check.h
@@ -5,27 +5,29 @@
 
 #include <vector>
 
-/// The verdict on a folder of configuration files. `papayastep check` and the node use the same one.
+/// Validation of the configuration files of a folder. `papayastep check` and the node use the same functions.
 namespace papayastep::config {
 
-/// What a check found. With any error there is no configuration.
+/// Result of check(). If there is any error, there is no configuration.
 struct CheckResult
 {
     ConfigurationPtr configuration; ///< Null if there are errors.
-    std::vector<base::Error> errors; ///< At most maxReportedErrors, in the order of the files.
-    std::vector<base::Error> warnings; ///< Valid, but seldom meant, such as a service without servers.
+    std::vector<base::Error> errors; ///< At most maxReportedErrors errors, in the order of the files.
+    std::vector<base::Error>
+        warnings; ///< Valid entries that are rarely intended, such as a service without backend servers.
 };
 
-/// A broken generator can make one error for each of 120,000 entries; nobody reads more than these.
+/// Upper limit for the number of errors, and of warnings, in a result. A broken generator can cause one error for each
+/// of 120,000 entries, and nobody reads more than this many.
 constexpr std::size_t maxReportedErrors = 1000;
 
-/// Merges `files` in the order of their names and reports all that is wrong. Never throws base::Error.
+/// Merges `files` in the order of their names and reports all errors and warnings. Never throws base::Error.
 CheckResult check(base::Revision revision, const std::vector<ConfigurationFile> &files);
 
-/// Only the errors of check().
+/// Returns only the errors of check().
 std::vector<base::Error> checkFiles(const std::vector<ConfigurationFile> &files);
 
-/// The JSON Schema (draft 7) of one file, as published for editors.
+/// Returns the JSON Schema (draft 7) of a configuration file, which is published for use in editors.
 std::string_view schemaText();
 
 }
--- a/src/include/papayastep/config/configuration.h
+++ b/src/include/papayastep/config/configuration.h
@@ -14,20 +14,21 @@
 #include <unordered_map>
 #include <vector>
 
-/// What operators publish, checked and merged: immutable, one object per revision, shared by all parts of a node.
+/// The published configuration after validation and merging. There is one immutable object per revision, which all
+/// parts of a node share.
 namespace papayastep::config {
 
-/// Nearly every workspace has one key, which then needs no allocation of its own.
+/// The keys of a workspace. Nearly every workspace has a single key, which is stored inline without an allocation.
 using KeyFingerprints = boost::container::small_vector<KeyFingerprint, 1>;
 
-/// A tenant: the keys that speak for it, and what it may use, fleet-wide.
+/// A tenant, with the keys that identify it and its rate limit across the fleet.
 struct Workspace
 {
     base::WorkspaceId id;
     KeyFingerprints keys;
-    double rate = 0; ///< Requests per second, over all VMs together; 0: no limit.
-    double burst = 0; ///< Requests that may come at once, over all VMs together.
-    std::optional<int> priority; ///< Goes before that of the route; 0 is the most urgent.
+    double rate = 0; ///< Requests per second, summed over all VMs. 0 means no limit.
+    double burst = 0; ///< Requests that may arrive at once, summed over all VMs.
+    std::optional<int> priority; ///< Overrides the priority of the route. 0 is the most urgent.
 
     bool isLimited() const
     {
@@ -37,67 +38,71 @@
     std::partial_ordering operator<=>(const Workspace &) const = default;
 };
 
-/// What a service weighs more: hearing of a sick backend server soon, or not ejecting a healthy one.
+/// Whether the detection of unhealthy backend servers of a service favours a short detection time or few ejections of
+/// healthy servers.
 enum class DetectionPreference { FastDetection, FewEjections };
 
+/// A set of interchangeable backend servers, with the settings of their health detection.
 struct Service
 {
     base::ServiceId id;
     DetectionPreference prefer = DetectionPreference::FastDetection;
-    double floor = 0.5; ///< Share of the service's slots that ejection must leave in use.
-    std::string healthPath; ///< A hint only. Empty: the service has none.
+    double floor = 0.5; ///< Share of the service's slots, from 0 to 1, that ejections must leave in use.
+    std::string healthPath; ///< Only a hint. Empty if the service has no health path.
 
     auto operator<=>(const Service &) const = default;
 };
 
-/// A part of a route's requests that goes to one service.
+/// A service that receives a share of the requests of a route.
 struct RouteTarget
 {
     base::ServiceId service;
-    double weight = 1; ///< In proportion to the weights of the route's other targets.
+    double weight = 1; ///< Share of the requests relative to the weights of the other targets of the route.
 
     auto operator<=>(const RouteTarget &) const = default;
 };
 
+/// A rule that assigns requests to a service by host, path prefix and method, and sets how they are handled.
 struct Route
 {
     base::RouteId id;
-    std::string host; ///< Empty: any host.
+    std::string host; ///< Host of the request. Empty matches any host.
     std::string pathPrefix;
-    bool onlyBelowPrefix = false; ///< Only paths below the prefix match, not the prefix itself.
-    std::vector<std::string> methods; ///< Empty: any method.
-    base::ServiceId service; ///< Of all requests; with `split`, of its first target.
-    std::vector<RouteTarget> split; ///< Empty: all requests go to `service`.
-    std::optional<bool> idempotent; ///< Absent: by method (GET, HEAD, OPTIONS are).
-    bool isPublic = false; ///< Requests need no key and count for no workspace.
-    int priority = 0; ///< 0 is the most urgent. Of those that wait, the more urgent go first.
-    int maxAttempts = 3; ///< Backend servers that one request may be given to.
-    base::Duration targetLatency{0}; ///< Answers later than this are worth less to the caller; 0: not stated.
+    bool onlyBelowPrefix = false; ///< Whether only paths below the prefix match, not the prefix itself.
+    std::vector<std::string> methods; ///< Methods of the request. Empty matches any method.
+    base::ServiceId service; ///< Service of all requests. With `split`, this is the service of the first target.
+    std::vector<RouteTarget> split; ///< Targets that share the requests. If empty, all requests go to `service`.
+    std::optional<bool> idempotent; ///< If unset, the method decides: GET, HEAD and OPTIONS are idempotent.
+    bool isPublic = false; ///< Whether requests need no key and are not counted for any workspace.
+    int priority = 0; ///< 0 is the most urgent. Among waiting requests, the more urgent ones are served first.
+    int maxAttempts = 3; ///< Maximum number of backend servers that one request is sent to.
+    base::Duration targetLatency{0}; ///< Later answers are worth less to the caller. 0 means that no target is set.
     base::Duration deadline = std::chrono::seconds(10);
-    base::Duration retention = std::chrono::hours(1); ///< How long the outcome of an Idempotency-Key is kept.
-    bool stream = false; ///< Answers are passed on as they come instead of being held whole first.
+    base::Duration retention = std::chrono::hours(1); ///< Time for which the outcome of an Idempotency-Key is kept.
+    bool stream = false; ///< Whether answers are forwarded as they arrive instead of being buffered whole first.
 
     auto operator<=>(const Route &) const = default;
 };
 
+/// A backend server that processes the requests of one service on one VM.
 struct BackendServer
 {
     base::BackendServerId id;
     base::ServiceId service;
     base::VmId vm;
     base::ZoneId zone;
-    std::string address; ///< IP number, as the node on `vm` reaches it.
+    std::string address; ///< IP address at which the node on `vm` reaches the server.
     std::uint16_t port = 0;
-    int slots = 1; ///< Requests that it works on at once.
-    bool drain = false; ///< Gets no new work: operators want it so, or it is about to stop.
-    /// Tells one start of the server from the next under the same id. Only a directory knows it; 0: not known.
+    int slots = 1; ///< Requests that the server processes at once.
+    bool drain = false; ///< Whether it receives no new requests, because operators drain it or it is about to stop.
+    /// Distinguishes successive starts of a server under the same id. Only a directory provides it. 0 means unknown.
     std::uint64_t incarnation = 0;
-    base::TimePoint coldUntil{}; ///< It is slow after its start until then. Only a directory knows it.
+    base::TimePoint coldUntil{}; ///< Time until which the server is slow after its start. Only a directory provides it.
 
     auto operator<=>(const BackendServer &) const = default;
 };
 
-/// What callers may send. A field that is absent is left to the settings of each node.
+/// Limits for the requests of callers. For an unset field, the settings of each node apply.
 struct CallerLimits
 {
     std::optional<std::uint64_t> headerBytes;
@@ -111,7 +116,8 @@
 class Configuration;
 using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
-/// All of one revision. Vectors are sorted by id; lookups are by hash.
+/// The merged configuration of one revision. Vectors are sorted by id. Workspaces, services, routes and backend servers
+/// are found by binary search, and the servers of a service by hash.
 class Configuration
 {
 public:
@@ -135,40 +141,41 @@
     const std::vector<BackendServer> &backendServers() const;
     const CallerLimits &limits() const;
 
-    /// The same revision with other backend servers. Shares all else, so it costs nothing for workspaces and routes:
-    /// a directory of servers changes far more often than what operators publish.
+    /// Returns the same revision with other backend servers. Everything else is shared, so that workspaces and routes
+    /// are not copied, because a directory of servers changes far more often than the published configuration.
     ConfigurationPtr withBackendServers(std::vector<BackendServer> servers) const;
 
-    /// Null where there is none of that name.
+    /// The lookups return null if there is no entry with the id.
     const Workspace *workspace(const base::WorkspaceId &id) const;
     const Service *service(const base::ServiceId &id) const;
     const Route *route(const base::RouteId &id) const;
     const BackendServer *backendServer(const base::BackendServerId &id) const;
 
-    /// The workspace that `fingerprint` speaks for, or null. This is the only way from a key to a workspace.
+    /// Returns the workspace that the key with `fingerprint` identifies, or null. No other function maps a key to a
+    /// workspace.
     const Workspace *workspaceOfKey(const KeyFingerprint &fingerprint) const;
 
-    /// Servers of a service, sorted by id.
+    /// Returns the backend servers of a service, sorted by id.
     const std::vector<const BackendServer *> &serversOf(const base::ServiceId &service) const;
 
-    /// The VMs that carry servers of a service, sorted and without repeats.
+    /// Returns the VMs that run backend servers of a service, sorted and without duplicates.
     std::vector<base::VmId> vmsOf(const base::ServiceId &service) const;
 
 private:
     struct KeyEntry
     {
-        std::uint64_t prefix; ///< Of the fingerprint; the workspace holds the rest.
-        std::uint32_t workspace; ///< Index into the workspaces.
+        std::uint64_t prefix; ///< KeyFingerprint::prefix(). The workspace has the whole fingerprint.
+        std::uint32_t workspace; ///< Index into Published::workspaces.
     };
 
-    /// What operators publish besides backend servers.
+    /// The published configuration without the backend servers.
     struct Published
     {
         std::vector<Workspace> workspaces;
         std::vector<Service> services;
         std::vector<Route> routes;
         CallerLimits limits;
-        std::vector<KeyEntry> keys; ///< Sorted by prefix: 16 bytes a key instead of a hash map's hundred.
+        std::vector<KeyEntry> keys; ///< Sorted by prefix. A key takes 16 bytes, against about a hundred in a hash map.
     };
 
     Configuration(base::Revision revision,
@@ -183,17 +190,17 @@
     std::unordered_map<base::ServiceId, std::vector<const BackendServer *>> m_serversOf;
 };
 
-/// One VM as the platform lists it. The list lags.
+/// A VM as listed by the platform. The list may be out of date.
 struct VmEntry
 {
     base::VmId id;
     base::ZoneId zone;
-    std::string address; ///< IP number.
-    std::uint16_t callerPort = 0; ///< HTTP, for callers.
-    std::uint16_t hopPort = 0; ///< HTTP, between nodes.
-    std::uint16_t peerPort = 0; ///< Messages between nodes.
-    std::uint16_t adminPort = 0; ///< HTTP, for operators: /metrics, /status.
-    bool leaving = false; ///< The platform is about to take it away.
+    std::string address; ///< IP address.
+    std::uint16_t callerPort = 0; ///< HTTP port for callers.
+    std::uint16_t hopPort = 0; ///< HTTP port for requests between nodes.
+    std::uint16_t peerPort = 0; ///< Port for messages between nodes.
+    std::uint16_t adminPort = 0; ///< HTTP port for operators, with /metrics and /status.
+    bool leaving = false; ///< Whether the platform is about to remove the VM.
 
     auto operator<=>(const VmEntry &) const = default;
 };
@@ -201,32 +208,32 @@
 /// The platform's list of VMs, sorted by id.
 struct VmList
 {
-    std::uint64_t version = 0; ///< Rises with each change that the platform publishes.
+    std::uint64_t version = 0; ///< Increases with each change that the platform publishes.
     std::vector<VmEntry> vms;
 
-    /// Null where the list does not name `id`.
+    /// Returns the entry of the VM `id`, or null if it is not in the list.
     const VmEntry *find(const base::VmId &id) const;
 
     auto operator<=>(const VmList &) const = default;
 };
 
-/// One published file as it stands at the platform.
+/// A configuration file as published on the platform.
 struct ConfigurationFile
 {
     std::string name;
-    std::string text; ///< JSON.
+    std::string text; ///< Content in JSON.
 
     auto operator<=>(const ConfigurationFile &) const = default;
 };
 
-/// The largest value the platform holds, in bytes; so the largest file.
+/// Maximum size of a configuration file in bytes. It is the maximum size of a value on the platform.
 constexpr std::size_t maxFileBytes = 1'000'000;
 
-/// Merges `files` in the order of their names, checks all, and returns the configuration.
-/// Throws Error (1xxx) naming file and JSON pointer. The same input gives the same verdict on every node.
+/// Merges `files` in the order of their names, validates them, and returns the configuration. Throws the first error, a
+/// base::Error with a code 1xxx and the file and JSON pointer. The same input has the same result on every node.
 ConfigurationPtr buildConfiguration(base::Revision revision, const std::vector<ConfigurationFile> &files);
 
-/// The fingerprint of a caller's key.
+/// Returns the fingerprint of a caller's key.
 KeyFingerprint fingerprintOf(const std::string &key);
 
 }
--- a/src/include/papayastep/config/folder.h
+++ b/src/include/papayastep/config/folder.h
@@ -7,9 +7,9 @@
 
 namespace papayastep::config {
 
-/// Reads all files of `folder`, sorted by name. Names that start with a dot are skipped; any other name goes into
-/// the check, since a drop-in called `90-drain.jsn` that is silently ignored would look as if it were in force.
-/// Throws Error(ConfigFileUnreadable) for a folder or file that can't be read.
+/// Reads all files of `folder`, sorted by name. Files whose names start with a dot are skipped. All others are returned
+/// for validation, because a silently ignored drop-in such as `90-drain.jsn` would appear to be in force. Throws
+/// Error(ConfigFileUnreadable) if the folder or a file cannot be read.
 std::vector<ConfigurationFile> readFolder(const std::filesystem::path &folder);
 
 }
--- a/src/include/papayastep/config/keyfingerprint.h
+++ b/src/include/papayastep/config/keyfingerprint.h
@@ -11,8 +11,8 @@
 
 namespace papayastep::config {
 
-/// The SHA-256 of a caller's key: what configuration and hops carry in the key's place. 32 bytes, no heap, since a
-/// large configuration holds one or more for each of 120,000 workspaces.
+/// The SHA-256 of a caller's key, which the configuration and the hops between nodes contain instead of the key. It
+/// takes 32 bytes without heap memory, because a large configuration has one or more for each of 120,000 workspaces.
 class KeyFingerprint
 {
 public:
@@ -25,11 +25,11 @@
     {
     }
 
-    /// Reads 64 lower-case hexadecimal digits, with or without the prefix `sha256:` of the files.
-    /// Throws Error(ConfigSchema) for anything else.
+    /// Parses 64 lower-case hexadecimal digits, with or without the prefix `sha256:` that the files use.
+    /// Throws Error(ConfigSchema) for any other text.
     static KeyFingerprint parse(std::string_view text);
 
-    /// 64 lower-case hexadecimal digits.
+    /// Returns 64 lower-case hexadecimal digits, without the prefix `sha256:`.
     std::string toString() const;
 
     const Bytes &bytes() const
@@ -37,7 +37,7 @@
         return m_bytes;
     }
 
-    /// The first eight bytes as a number. Evenly spread, so it serves as hash and as sort key.
+    /// Returns the first eight bytes as a number. It is evenly distributed and thus serves as hash and as sort key.
     std::uint64_t prefix() const
     {
         std::uint64_t value = 0;
@@ -47,7 +47,7 @@
 
     auto operator<=>(const KeyFingerprint &) const = default;
 
-    /// Travels as the hexadecimal text, so that a log of messages can be compared with the files.
+    /// Serialized as the hexadecimal text, so that a log of messages can be compared with the files.
     template<typename Packer>
     void msgpack_pack(Packer &packer) const
     {
