--- a/src/ctl/command.cpp
+++ b/src/ctl/command.cpp
@@ -93,7 +93,7 @@
            "Exit codes: 0 fine, 1 what was asked about is wrong, 2 the command line is wrong.\n";
 }
 
-/// The arguments after the words of `name`, or nothing where they do not begin with them.
+/// Returns the arguments after the words of `name`, or nullopt if the arguments do not begin with these words.
 const Command *choose(const CommandList &commands, std::vector<std::string> &arguments)
 {
     for (const auto &command : commands) {
--- a/src/ctl/command.h
+++ b/src/ctl/command.h
@@ -7,13 +7,13 @@
 #include <string>
 #include <vector>
 
-/// The subcommands of `papayastep`. Each reads its own arguments, does one thing and returns an exit code.
+/// The subcommands of `papayastep`. Each one parses its own arguments, performs one action and returns an exit code.
 namespace papayastep::ctl {
 
-// What the program returns to the shell. Documented in docs/OPERATORS.md; scripts rely on it.
+// Exit codes of the program. They are documented in docs/OPERATORS.md, and scripts rely on them.
 constexpr int exitOk = 0;
-constexpr int exitFailed = 1; ///< What was asked about is wrong: an invalid folder, a node that does not answer.
-constexpr int exitUsage = 2; ///< The command line can't be understood.
+constexpr int exitFailed = 1; ///< The command found a fault, such as an invalid folder or a node that does not answer.
+constexpr int exitUsage = 2; ///< The command line is invalid.
 
 /// Standard streams, passed in so that tests can read them.
 struct Streams
@@ -23,19 +23,19 @@
     std::ostream &err;
 };
 
-/// One subcommand.
+/// Base class of the subcommands. A subclass declares its options and implements execute().
 class Command
 {
 public:
     virtual ~Command() = default;
 
-    /// The word or words that choose it, such as "key new".
+    /// The word or words on the command line that select the subcommand, such as "key new".
     virtual std::string name() const = 0;
     virtual std::string summary() const = 0;
     /// The arguments after the name, as shown in help.
     virtual std::string usage() const = 0;
 
-    /// Parses `arguments` and runs. Throws base::Error.
+    /// Parses `arguments`, runs the subcommand and returns its exit code. Throws base::Error.
     int run(const std::vector<std::string> &arguments, Streams &streams) const;
 
 protected:
@@ -46,23 +46,24 @@
     virtual void describe(Options &options, Positions &positions) const = 0;
     virtual int execute(const Values &values, Streams &streams) const = 0;
 
-    /// The value of a required argument. Throws Error(CommandLine) where it is missing.
+    /// Returns the value of a required argument. Throws Error(CommandLine) if it is missing.
     static std::string required(const Values &values, const char *name);
-    /// The value of an optional argument, or an empty string.
+    /// Returns the value of an optional argument, or an empty string if it is missing.
     static std::string optional(const Values &values, const char *name);
-    /// Writes `text` to the file that --output names, or to standard output. Never overwrites a file.
+    /// Writes `text` to the file given with --output, or to standard output without that option. An existing file is
+    /// never overwritten.
     static void writeOutput(const Values &values, const std::string &text, Streams &streams);
 };
 
 using CommandList = std::vector<std::unique_ptr<Command>>;
 
-/// All subcommands, in the order of the help.
+/// Returns all subcommands in the order in which the help lists them.
 CommandList allCommands();
 
-/// Chooses the subcommand, runs it, and turns errors into a line on standard error and an exit code.
+/// Selects and runs the subcommand. Errors are printed as one line on standard error and returned as an exit code.
 int runProgram(const std::vector<std::string> &arguments, Streams &streams);
 
-// One function for each source file.
+// Factory functions of the subcommands, each defined in the source file of its subcommand.
 std::unique_ptr<Command> makeCheckCommand();
 std::unique_ptr<Command> makeShowCommand();
 std::unique_ptr<Command> makeDiffCommand();
--- a/src/ctl/command_test.cpp
+++ b/src/ctl/command_test.cpp
@@ -36,7 +36,7 @@
         return out.str().find(text) != std::string::npos;
     }
 
-    /// The errors of the example folder with the printed fragment as a drop-in.
+    /// Returns the errors of the example folder with the printed fragment added as a drop-in.
     std::vector<base::Error> errorsWithDropIn(const std::string &fragment) const
     {
         auto files = config::readFolder(caribrite);
@@ -45,7 +45,7 @@
     }
 };
 
-/// Answers one request with `body`, then stops.
+/// HTTP server that answers one request with `body` and then stops.
 class OneAnswerServer
 {
 public:
@@ -144,8 +144,8 @@
     BOOST_TEST(printed("unknown or withdrawn"));
 }
 
-// An operator makes a key and drops the printed file into the folder. If the fragment replaced the workspace's other
-// keys, all its callers would be cut off at once.
+// An operator creates a key and adds the printed file to the configuration folder. If the fragment replaced the
+// workspace's other keys, all callers of the workspace would lose access at once.
 BOOST_FIXTURE_TEST_CASE(newKey_withItsFragment_isGoodBesideTheOldOnes, CommandFixture)
 {
     BOOST_TEST(run({"key", "new", "rum-shops"}) == exitOk);
@@ -179,7 +179,8 @@
     BOOST_TEST(errorsWithDropIn(out.str()).empty());
 }
 
-// An operator mistypes --output and names a file of the folder. Overwritten, a part of the configuration would be gone.
+// An operator mistypes --output and names an existing file of the configuration folder. If the command overwrote the
+// file, a part of the configuration would be lost.
 BOOST_FIXTURE_TEST_CASE(output_toAnExistingFile_isRefused, CommandFixture)
 {
     const std::string existing = caribrite + "/10-services.json";
--- a/src/ctl/httpget.cpp
+++ b/src/ctl/httpget.cpp
@@ -20,7 +20,7 @@
 namespace http = beast::http;
 using base::Error;
 using base::ResultCode;
-using Answer = http::response<http::string_body>;
+using Response = http::response<http::string_body>;
 
 asio::ip::tcp::endpoint endpointOf(const std::string &node)
 {
@@ -41,9 +41,10 @@
     return {ip, static_cast<std::uint16_t>(port)};
 }
 
-/// Runs what was started on `context` within the time that `stream` has left. Beast's timeouts work only for
-/// asynchronous operations, and without one a node that hangs would hang the operator's terminal.
-void finish(asio::io_context &context, const beast::error_code &result, const std::string &node)
+/// Runs the asynchronous operation pending on `context` until it completes or the stream's time limit expires, and
+/// throws Error(PlatformUnreachable) if it failed. Beast applies timeouts only to asynchronous operations; without a
+/// timeout, a node that hangs would block the operator's terminal.
+void runPending(asio::io_context &context, const beast::error_code &result, const std::string &node)
 {
     context.run();
     context.restart();
@@ -52,24 +53,24 @@
     }
 }
 
-Answer ask(const std::string &node, const std::string &target)
+Response sendGet(const std::string &node, const std::string &target)
 {
     asio::io_context context;
     beast::tcp_stream stream(context);
     stream.expires_after(httpPatience);
     beast::error_code result;
     stream.async_connect(endpointOf(node), [&result](beast::error_code code) { result = code; });
-    finish(context, result, node);
+    runPending(context, result, node);
     http::request<http::empty_body> request(http::verb::get, target, 11);
     request.set(http::field::host, node);
     request.set(http::field::connection, "close");
     http::async_write(stream, request, [&result](beast::error_code code, std::size_t) { result = code; });
-    finish(context, result, node);
+    runPending(context, result, node);
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
     parser.body_limit(64u << 20);
     http::async_read(stream, buffer, parser, [&result](beast::error_code code, std::size_t) { result = code; });
-    finish(context, result, node);
+    runPending(context, result, node);
     return parser.release();
 }
 
@@ -77,7 +78,7 @@
 
 std::string httpGet(const std::string &node, const std::string &target)
 {
-    Answer answer = ask(node, target);
+    Response answer = sendGet(node, target);
     if (answer.result() != http::status::ok) {
         throw Error(ResultCode::PlatformAnswerInvalid,
                     node + " answered " + std::to_string(answer.result_int()) + ": " + answer.body());
--- a/src/ctl/httpget.h
+++ b/src/ctl/httpget.h
@@ -5,14 +5,15 @@
 
 namespace papayastep::ctl {
 
+/// Time limit for one request of httpGet(), from connecting to the end of the response.
 constexpr std::chrono::seconds httpPatience{5};
 
-/// The body of the answer to `GET target` at `node` ("address:port"; an IPv6 address stands in brackets).
-/// Throws Error(PlatformUnreachable) where nobody answers in time, and Error(PlatformAnswerInvalid) for any other
-/// status than 200, with the answer's text.
+/// Sends `GET target` to `node` ("address:port", with an IPv6 address in brackets) and returns the response body.
+/// Throws Error(PlatformUnreachable) if no response arrives in time, and Error(PlatformAnswerInvalid) with the response
+/// body for any status other than 200. Throws Error(CommandLine) if `node` is not a valid address and port.
 std::string httpGet(const std::string &node, const std::string &target);
 
-/// `text` as a value in a query string.
+/// Percent-encodes `text` for use as a value in a query string.
 std::string percentEncode(const std::string &text);
 
 }
--- a/src/ctl/keycommand.cpp
+++ b/src/ctl/keycommand.cpp
@@ -20,11 +20,11 @@
 constexpr std::size_t secretBytes = 32;
 constexpr int textVariant = sodium_base64_VARIANT_URLSAFE_NO_PADDING;
 
-/// 256 random bits as 43 characters that need no quoting in a shell or a header.
+/// Returns 256 random bits as 43 characters that need no quoting in a shell or a header.
 std::string randomSecret()
 {
     if (sodium_init() < 0) {
-        throw base::Error(base::ResultCode::Internal, "no source of randomness");
+        throw base::Error(base::ResultCode::Internal, "the system's random number generator is not available");
     }
     std::array<unsigned char, secretBytes> bytes{};
     randombytes_buf(bytes.data(), bytes.size());
@@ -72,7 +72,7 @@
         const config::KeyFingerprint fingerprint = config::fingerprintOf(secret);
         const std::string name = "50-key-" + workspace + "-" + fingerprint.toString().substr(0, 8) + ".json";
         const std::string fragment = fragmentOf(workspace, "addKeys", fingerprint);
-        // The file first: a secret that was printed without its file would look like a good key.
+        // The file is written first: a secret printed without its file would look like a valid key.
         if (values.count("output") != 0) {
             writeOutput(values, fragment, streams);
         }
@@ -114,7 +114,7 @@
             secret.pop_back();
         }
         if (secret.empty()) {
-            throw base::Error(base::ResultCode::CommandLine, "standard input has no secret");
+            throw base::Error(base::ResultCode::CommandLine, "standard input contains no secret");
         }
         streams.out << "sha256:" << config::fingerprintOf(secret).toString() << '\n';
         return exitOk;
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-// papayastep: the operator's command.
+// Entry point of `papayastep`, the command-line tool for operators.
 
 #include "command.h"
 
--- a/src/ctl/requeststory.cpp
+++ b/src/ctl/requeststory.cpp
@@ -8,29 +8,32 @@
 
 namespace {
 
-/// How long before its first line a belief may have begun that decided about a request: a gray spell is held for some
-/// two seconds, and a configuration is in force everywhere within two.
-constexpr int beliefSeconds = 3;
-/// A node that was killed is started again within some seconds.
-constexpr int restartSeconds = 10;
-
-const std::regex &lineShape()
+/// Time in seconds before the first line of a request from which lines about the nodes' state are included, since that
+/// state may have decided about the request: a server is held as gray for about two seconds, and a configuration is in
+/// force on all nodes within two seconds.
+constexpr int stateWindowSeconds = 3;
+/// Time in seconds after the last line of a request in which a restart of its node is included. A node that was killed
+/// is started again within some seconds.
+constexpr int restartWindowSeconds = 10;
+
+const std::regex &logLinePattern()
 {
-    static const std::regex shape(
+    static const std::regex pattern(
         R"(^(?:(.*?)\s+)?(\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{6}Z) ([IWEF]) ([a-z][a-z-]*): (.*)$)");
-    return shape;
+    return pattern;
 }
 
-/// The parts whose lines without a request say what a node believes.
-bool tellsBeliefs(const LogLine &line)
+/// Returns whether the line reports state known to a node: it comes from one of these components and names no request.
+bool reportsNodeState(const LogLine &line)
 {
     static const std::set<std::string> parts{
         "config", "health", "limits", "log", "membership", "node", "platform", "serving"};
     return parts.contains(line.part) && !line.fields.contains("request");
 }
 
-/// Whether the line tells how a request ended for its caller. A summary names requests that were refused.
-bool tellsEnd(const LogLine &line)
+/// Returns whether the line reports how a request ended for its caller. A summary line names requests that were
+/// refused.
+bool reportsEnd(const LogLine &line)
 {
     static const std::set<std::string> ends{"Answered a request.",
                                             "Broke an answer off.",
@@ -40,7 +43,8 @@
     return line.part == "routing" && ends.contains(line.sentence);
 }
 
-/// Seconds of the day; a story that crosses midnight loses the beliefs before it, and nothing else.
+/// Returns the time of day in seconds. For a request that runs across midnight, the lines about the nodes' state before
+/// midnight are missing, and nothing else.
 double secondsOfDay(const std::string &time)
 {
     const auto number = [&time](std::size_t from, std::size_t length) { return std::stod(time.substr(from, length)); };
@@ -53,7 +57,7 @@
     return found != line.fields.end() ? found->second : std::string();
 }
 
-/// Splits `Short sentence. a=1 b=two words` where the fields begin.
+/// Splits a text such as `Short sentence. a=1 b=two words` into the sentence and its fields.
 void splitFields(const std::string &text, LogLine &line)
 {
     static const std::regex field(R"((?:^|\s)([a-zA-Z]+)=)");
@@ -75,8 +79,8 @@
     }
 }
 
-/// A summary names many requests in one field.
-bool holds(const std::string &list, const std::string &id)
+/// Returns whether the comma-separated `list` contains `id`. A summary line names many requests in one field.
+bool listContains(const std::string &list, const std::string &id)
 {
     return (',' + list + ',').find(',' + id + ',') != std::string::npos;
 }
@@ -87,7 +91,7 @@
 {
     const std::string whole(text);
     std::smatch match;
-    if (!std::regex_match(whole, match, lineShape())) {
+    if (!std::regex_match(whole, match, logLinePattern())) {
         return std::nullopt;
     }
     LogLine line;
@@ -126,7 +130,7 @@
     std::vector<LogLine> own;
     std::set<std::string> servers;
     std::set<std::string> nodes;
-    std::set<std::string> entries; ///< Only there rates were asked for.
+    std::set<std::string> entries; ///< Entry nodes of the request; only these requested tokens for its rate limit.
     for (const LogLine &line : m_lines) {
         if (names(line)) {
             own.push_back(line);
@@ -143,7 +147,7 @@
     }
     const auto [first, last] = std::minmax_element(
         own.begin(), own.end(), [](const LogLine &a, const LogLine &b) { return a.time < b.time; });
-    const double from = secondsOfDay(first->time) - beliefSeconds;
+    const double from = secondsOfDay(first->time) - stateWindowSeconds;
     const double to = secondsOfDay(last->time);
     const bool ended = hasEnd();
     std::vector<LogLine> story = own;
@@ -152,8 +156,8 @@
         const std::string server = valueOf(line, "server");
         const std::set<std::string> &where = line.part == "limits" ? entries : nodes;
         const bool concerns = where.contains(line.node) && (server.empty() || servers.contains(server));
-        const double until = line.part == "node" && !ended ? to + restartSeconds : to;
-        return tellsBeliefs(line) && concerns && at >= from && at <= until;
+        const double until = line.part == "node" && !ended ? to + restartWindowSeconds : to;
+        return reportsNodeState(line) && concerns && at >= from && at <= until;
     });
     std::stable_sort(story.begin(), story.end(), [](const LogLine &a, const LogLine &b) { return a.time < b.time; });
     return story;
@@ -162,7 +166,7 @@
 bool RequestStory::hasEnd() const
 {
     return std::any_of(
-        m_lines.begin(), m_lines.end(), [this](const LogLine &line) { return tellsEnd(line) && names(line); });
+        m_lines.begin(), m_lines.end(), [this](const LogLine &line) { return reportsEnd(line) && names(line); });
 }
 
 std::vector<NodeStart> RequestStory::starts() const
@@ -189,7 +193,7 @@
 {
     const std::string listed = valueOf(line, "requests");
     return m_names.contains(valueOf(line, "request"))
-        || std::any_of(m_names.begin(), m_names.end(), [&](const std::string &id) { return holds(listed, id); });
+        || std::any_of(m_names.begin(), m_names.end(), [&](const std::string &id) { return listContains(listed, id); });
 }
 
 }
--- a/src/ctl/requeststory_test.cpp
+++ b/src/ctl/requeststory_test.cpp
@@ -50,8 +50,8 @@
     BOOST_TEST(line->fields.at("reason") == "No slot is free.");
 }
 
-// An engineer has the logs of two nodes whose lines were collected apart. The story must be in order of time, hold the
-// lines of both sides of the hop, and what the serving node thought of the server when it took the request.
+// The logs of two nodes were collected separately. The result must be in order of time and contain the lines of both
+// sides of the hop and the state of the server that the serving node had recorded when it accepted the request.
 BOOST_AUTO_TEST_CASE(story_ofTwoNodes_isOneInOrderOfTime)
 {
     read(entryLog, "vm-1");
@@ -78,8 +78,8 @@
     BOOST_TEST(!story.lines().empty());
 }
 
-// The node that a caller spoke with is killed while it waits for a server. No line can tell that; the log of the node
-// just goes on with its next start, a moment later.
+// The entry node of a request is killed while it waits for a server. No log line reports this; the node's log continues
+// with its next start a moment later.
 BOOST_AUTO_TEST_CASE(story_whoseEntryWasKilled_goesOnToItsNextStart)
 {
     read("2026-01-02T03:04:05.000100Z I routing: Placed an attempt. request=r7 hop=aa server=s1\n"
@@ -93,7 +93,7 @@
     BOOST_TEST(lines[1].sentence == "Started.");
 }
 
-// A caller could not connect. Its request stands in no log, so the engineer needs to know which nodes were away.
+// A caller could not connect. No log contains its request, so the trace must report which nodes were not running.
 BOOST_AUTO_TEST_CASE(request_thatReachedNoNode_isExplainedByTheStarts)
 {
     read("2026-01-02T03:04:01.000000Z I node: Started. vm=vm-1\n"
@@ -110,8 +110,8 @@
     BOOST_TEST((story.starts() == expected));
 }
 
-// A request is refused because the nodes that hold its workspace's tokens are silent. The line that says which ones
-// names no request, and comes from the part that decides on rates.
+// A request is refused because the nodes that hold its workspace's tokens do not answer. The line that lists these
+// nodes names no request and comes from the component that applies the rate limits.
 BOOST_AUTO_TEST_CASE(story_ofARefusalByRate_hasWhatItsEntryKnewOfTheHolders)
 {
     read("2026-01-02T03:04:04.900000Z W limits: Passing over a node that holds workspaces' rates. vm=10.0.0.9\n"
@@ -133,7 +133,7 @@
     BOOST_TEST(story.hasEnd());
 }
 
-// In an overload most refusals stand in a summary only, with many ids in one line.
+// During an overload, most refusals are logged only in a summary line that contains many request ids.
 BOOST_AUTO_TEST_CASE(request_namedInASummary_isFound)
 {
     read("2026-01-02T03:04:06.000000Z W routing: Refused more requests. code=4005 count=3 requests=r6,r7,r8\n", "vm-1");
--- a/src/ctl/statuscommand.cpp
+++ b/src/ctl/statuscommand.cpp
@@ -17,7 +17,7 @@
 using boost::program_options::value;
 using nlohmann::json;
 
-/// The answer of one node, or why there is none.
+/// The response of one node, or the reason why there is none.
 struct NodeStatus
 {
     std::string node;
@@ -42,7 +42,7 @@
     return text.str();
 }
 
-/// How old the node's news of the newest revision are.
+/// Returns the age of the node's last information about the newest revision.
 std::string newsAge(const json &status)
 {
     const auto found = status.find("newsAgeMs");
--- a/src/ctl/table.h
+++ b/src/ctl/table.h
@@ -6,7 +6,7 @@
 
 namespace papayastep::ctl {
 
-/// Rows of text with aligned columns; the first row is the heading.
+/// Prints rows of text with aligned columns. The first row is the heading.
 class Table
 {
 public:
--- a/src/ctl/tracecommand.cpp
+++ b/src/ctl/tracecommand.cpp
@@ -15,7 +15,7 @@
 using boost::program_options::value;
 using Files = std::vector<std::string>;
 
-/// A summary may name forty requests.
+/// Maximum length in characters of a printed field value. The field of a summary line may name forty requests.
 constexpr std::size_t longestValue = 80;
 
 std::string shortened(const std::string &text)
@@ -51,7 +51,7 @@
     {
         RequestStory story(required(values, "request"));
         if (values.count("log") == 0) {
-            throw base::Error(ResultCode::CommandLine, "name at least one log; see --help");
+            throw base::Error(ResultCode::CommandLine, "no log file is given; see --help");
         }
         for (const std::string &file : values["log"].as<Files>()) {
             read(story, file, streams);
