--- a/src/ctl/command_test.cpp
+++ b/src/ctl/command_test.cpp
@@ -94,7 +94,7 @@
     BOOST_TEST(run({"--version"}) == exitOk);
 }
 
-BOOST_FIXTURE_TEST_CASE(everyCommand_withHelp_explainsItself, CommandFixture)
+BOOST_FIXTURE_TEST_CASE(everyCommand_withHelp_printsItsUsage, CommandFixture)
 {
     for (const auto &command : allCommands()) {
         Streams streams{in, out, err};
@@ -103,19 +103,19 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(check_ofTheExample_isGood, CommandFixture)
+BOOST_FIXTURE_TEST_CASE(check_ofTheExample_reportsItValid, CommandFixture)
 {
     BOOST_TEST(run({"check", caribrite}) == exitOk);
     BOOST_TEST(printed("good: 8 workspaces, 2 services, 4 routes, 22 backend servers, 0 warnings"));
 }
 
-BOOST_FIXTURE_TEST_CASE(check_ofAMissingFolder_failsWithItsNumber, CommandFixture)
+BOOST_FIXTURE_TEST_CASE(check_ofAMissingFolder_failsWithItsErrorCode, CommandFixture)
 {
     BOOST_TEST(run({"check", caribrite + "/nowhere"}) == exitFailed);
     BOOST_TEST(err.str().find("1002") != std::string::npos);
 }
 
-BOOST_FIXTURE_TEST_CASE(show_ofTheExample_isAConfigurationAgain, CommandFixture)
+BOOST_FIXTURE_TEST_CASE(show_ofTheExample_printsAValidConfiguration, CommandFixture)
 {
     BOOST_TEST(run({"show", caribrite}) == exitOk);
     BOOST_TEST(config::checkFiles({{"all.json", out.str()}}).empty());
@@ -146,7 +146,7 @@
 
 // An operator creates a key and adds the printed file to the configuration folder. If the fragment replaced the
 // workspace's other keys, all callers of the workspace would lose access at once.
-BOOST_FIXTURE_TEST_CASE(newKey_withItsFragment_isGoodBesideTheOldOnes, CommandFixture)
+BOOST_FIXTURE_TEST_CASE(newKey_withItsFragment_isValidBesideTheExistingKeys, CommandFixture)
 {
     BOOST_TEST(run({"key", "new", "rum-shops"}) == exitOk);
     const std::string text = out.str();
@@ -199,7 +199,7 @@
     BOOST_TEST(printed("no answer"));
 }
 
-BOOST_FIXTURE_TEST_CASE(explain_ofALiveNode_asksIt, CommandFixture)
+BOOST_FIXTURE_TEST_CASE(explain_ofALiveNode_queriesIt, CommandFixture)
 {
     std::string request;
     {
--- a/src/ctl/keycommand.cpp
+++ b/src/ctl/keycommand.cpp
@@ -18,7 +18,7 @@
 using nlohmann::ordered_json;
 
 constexpr std::size_t secretBytes = 32;
-constexpr int textVariant = sodium_base64_VARIANT_URLSAFE_NO_PADDING;
+constexpr int base64Variant = sodium_base64_VARIANT_URLSAFE_NO_PADDING;
 
 /// Returns 256 random bits as 43 characters that need no quoting in a shell or a header.
 std::string randomSecret()
@@ -28,8 +28,8 @@
     }
     std::array<unsigned char, secretBytes> bytes{};
     randombytes_buf(bytes.data(), bytes.size());
-    std::string text(sodium_base64_ENCODED_LEN(secretBytes, textVariant), '\0');
-    sodium_bin2base64(text.data(), text.size(), bytes.data(), bytes.size(), textVariant);
+    std::string text(sodium_base64_ENCODED_LEN(secretBytes, base64Variant), '\0');
+    sodium_bin2base64(text.data(), text.size(), bytes.data(), bytes.size(), base64Variant);
     text.pop_back();
     return text;
 }
--- a/src/ctl/requeststory_test.cpp
+++ b/src/ctl/requeststory_test.cpp
@@ -37,7 +37,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(requestStory, StoryFixture)
 
-BOOST_AUTO_TEST_CASE(logLine_ofANode_isTakenApart)
+BOOST_AUTO_TEST_CASE(logLine_ofANode_isSplitIntoItsFields)
 {
     const auto line = parseLogLine(
         "34.0058 vm-3 2026-01-02T03:04:05.000100Z W routing: Refused a request. request=r7 reason=No slot is free.",
@@ -52,7 +52,7 @@
 
 // The logs of two nodes were collected separately. The result must be in order of time and contain the lines of both
 // sides of the hop and the state of the server that the serving node had recorded when it accepted the request.
-BOOST_AUTO_TEST_CASE(story_ofTwoNodes_isOneInOrderOfTime)
+BOOST_AUTO_TEST_CASE(story_ofTwoNodes_isMergedInOrderOfTime)
 {
     read(entryLog, "vm-1");
     read(servingLog, "vm-2");
@@ -71,7 +71,7 @@
     BOOST_TEST(sentences == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(log_withCutAndForeignLines_isReadAllTheSame)
+BOOST_AUTO_TEST_CASE(log_withTruncatedAndForeignLines_isStillRead)
 {
     read(servingLog, "vm-2");
     BOOST_TEST(story.foreign() == 2U);
@@ -80,7 +80,7 @@
 
 // The entry node of a request is killed while it waits for a server. No log line reports this; the node's log continues
 // with its next start a moment later.
-BOOST_AUTO_TEST_CASE(story_whoseEntryWasKilled_goesOnToItsNextStart)
+BOOST_AUTO_TEST_CASE(story_whoseEntryWasKilled_includesItsNextStart)
 {
     read("2026-01-02T03:04:05.000100Z I routing: Placed an attempt. request=r7 hop=aa server=s1\n"
          "2026-01-02T03:04:07.200000Z I node: Started. vm=vm-1\n",
@@ -94,7 +94,7 @@
 }
 
 // A caller could not connect. No log contains its request, so the trace must report which nodes were not running.
-BOOST_AUTO_TEST_CASE(request_thatReachedNoNode_isExplainedByTheStarts)
+BOOST_AUTO_TEST_CASE(request_thatReachedNoNode_isExplainedByTheRestarts)
 {
     read("2026-01-02T03:04:01.000000Z I node: Started. vm=vm-1\n"
          "2026-01-02T03:04:05.000000Z I node: Stopped. open=0\n"
@@ -112,7 +112,7 @@
 
 // A request is refused because the nodes that hold its workspace's tokens do not answer. The line that lists these
 // nodes names no request and comes from the component that applies the rate limits.
-BOOST_AUTO_TEST_CASE(story_ofARefusalByRate_hasWhatItsEntryKnewOfTheHolders)
+BOOST_AUTO_TEST_CASE(story_ofARefusalByRateLimit_hasTheStateOfTheHolders)
 {
     read("2026-01-02T03:04:04.900000Z W limits: Passing over a node that holds workspaces' rates. vm=10.0.0.9\n"
          "2026-01-02T03:04:04.950000Z E log: Dropped lines. count=7\n"
--- a/src/ctl/statuscommand.cpp
+++ b/src/ctl/statuscommand.cpp
@@ -43,7 +43,7 @@
 }
 
 /// Returns the age of the node's last information about the newest revision.
-std::string newsAge(const json &status)
+std::string revisionInfoAge(const json &status)
 {
     const auto found = status.find("newsAgeMs");
     return found != status.end() ? oneDecimal(found->get<double>() / 1000) + " s" : "unknown";
@@ -164,7 +164,7 @@
                           textOf(status, "zone"),
                           textOf(status, "state"),
                           textOf(status, "revision"),
-                          newsAge(status),
+                          revisionInfoAge(status),
                           textOf(status, "open"),
                           textOf(status, "serving"),
                           textOf(status, "queued"),
--- a/src/ctl/tracecommand.cpp
+++ b/src/ctl/tracecommand.cpp
@@ -16,11 +16,11 @@
 using Files = std::vector<std::string>;
 
 /// Maximum length in characters of a printed field value. The field of a summary line may name forty requests.
-constexpr std::size_t longestValue = 80;
+constexpr std::size_t maxValueLength = 80;
 
 std::string shortened(const std::string &text)
 {
-    return text.size() <= longestValue ? text : text.substr(0, longestValue) + "...";
+    return text.size() <= maxValueLength ? text : text.substr(0, maxValueLength) + "...";
 }
 
 class TraceCommand final : public Command
@@ -99,8 +99,8 @@
 
     static void print(const LogLine &line, std::ostream &out)
     {
-        const bool believed = !line.fields.contains("request") && !line.fields.contains("requests");
-        out << line.time << ' ' << line.node << (believed ? "   (believed) " : " ") << line.part << ": "
+        const bool reportsState = !line.fields.contains("request") && !line.fields.contains("requests");
+        out << line.time << ' ' << line.node << (reportsState ? "   (believed) " : " ") << line.part << ": "
             << line.sentence;
         for (const auto &[name, text] : line.fields) {
             out << ' ' << name << '=' << shortened(text);
