--- a/src/config/entryreader.h
+++ b/src/config/entryreader.h
@@ -48,7 +48,8 @@
 /// Reads the object "limits" of a file. Fields that it does not contain keep their values.
 void readLimits(const nlohmann::json &json, CallerLimits &into, const EntryContext &context);
 
-/// Whether another field of `json` replaces the required `field`, such as "split" instead of "service".
+/// Whether another field of `json` replaces the required `field`: "unlimited" replaces "rate" and "burst", and "split"
+/// replaces "service".
 bool isReplaced(const nlohmann::json &json, std::string_view field);
 
 /// Returns the fields that an entry must have unless it is an override.
--- a/src/config/folder.cpp
+++ b/src/config/folder.cpp
@@ -50,7 +50,7 @@
             continue;
         }
         if (!entry.is_regular_file(error)) {
-            throwUnreadable("this is not a regular file", name);
+            throwUnreadable("not a regular file", name);
         }
         files.push_back({name, readText(entry.path(), name)});
     }
--- a/src/include/papayastep/config/check.h
+++ b/src/include/papayastep/config/check.h
@@ -13,8 +13,7 @@
 {
     ConfigurationPtr configuration; ///< Null if there are errors.
     std::vector<base::Error> errors; ///< At most maxReportedErrors errors, in the order of the files.
-    std::vector<base::Error>
-        warnings; ///< Valid entries that are rarely intended, such as a service without backend servers.
+    std::vector<base::Error> warnings; ///< Valid but rarely intended entries, such as a service without servers.
 };
 
 /// Upper limit for the number of errors, and of warnings, in a result. A broken generator can cause one error for each
--- a/src/include/papayastep/config/keyfingerprint.h
+++ b/src/include/papayastep/config/keyfingerprint.h
@@ -47,7 +47,7 @@
 
     auto operator<=>(const KeyFingerprint &) const = default;
 
-    /// Serialized as the hexadecimal text, so that a log of messages can be compared with the files.
+    /// The fingerprint is serialized as the hexadecimal text, so that a log of messages can be compared with the files.
     template<typename Packer>
     void msgpack_pack(Packer &packer) const
     {
