--- a/src/base/identifiers.cpp
+++ b/src/base/identifiers.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr std::size_t digitsOfHalf = 16;
+constexpr std::size_t digitsPerHalf = 16;
 
 std::uint64_t parseHalf(const char *begin)
 {
     std::uint64_t half = 0;
-    const char *end = begin + digitsOfHalf;
+    const char *end = begin + digitsPerHalf;
     const auto result = std::from_chars(begin, end, half, 16);
     if (result.ec != std::errc() || result.ptr != end) {
-        throw Error(ResultCode::HopMalformed, "a request id has 32 hexadecimal digits");
+        throw Error(ResultCode::HopMalformed, "a request id must have 32 hexadecimal digits");
     }
     return half;
 }
@@ -26,7 +26,7 @@
 
 std::string toString(const RequestId &id)
 {
-    char digits[2 * digitsOfHalf + 1];
+    char digits[2 * digitsPerHalf + 1];
     std::snprintf(digits,
                   sizeof(digits),
                   "%016llx%016llx",
@@ -37,10 +37,10 @@
 
 RequestId parseRequestId(const std::string &digits)
 {
-    if (digits.size() != 2 * digitsOfHalf) {
-        throw Error(ResultCode::HopMalformed, "a request id has 32 hexadecimal digits");
+    if (digits.size() != 2 * digitsPerHalf) {
+        throw Error(ResultCode::HopMalformed, "a request id must have 32 hexadecimal digits");
     }
-    return RequestId{parseHalf(digits.data()), parseHalf(digits.data() + digitsOfHalf)};
+    return RequestId{parseHalf(digits.data()), parseHalf(digits.data() + digitsPerHalf)};
 }
 
 std::ostream &operator<<(std::ostream &stream, const RequestId &id)
--- a/src/base/logoutput.cpp
+++ b/src/base/logoutput.cpp
@@ -13,14 +13,15 @@
 
 namespace {
 
-/// Lines are written together from here on, so that a busy node makes one system call for some ten lines.
-constexpr std::size_t flushFrom = 2048;
+/// Buffer size from which lines are written without waiting for flush(), so that a busy node makes one system call for
+/// some ten lines.
+constexpr std::size_t flushThresholdBytes = 2048;
 
-/// In a flood lines are dropped all the time, and one sentence a second says all there is to say of it.
-constexpr Duration tellEvery = std::chrono::seconds(1);
+/// In a flood, lines are dropped continuously, and one report per second is enough.
+constexpr Duration reportInterval = std::chrono::seconds(1);
 
-/// The mark of a severity, as glog writes it.
-char mark(google::LogSeverity severity)
+/// The letter of a severity, as glog writes it.
+char severityLetter(google::LogSeverity severity)
 {
     constexpr std::array marks{'I', 'W', 'E', 'F'};
     const auto index = static_cast<std::size_t>(std::clamp(severity, 0, static_cast<int>(marks.size()) - 1));
@@ -41,8 +42,8 @@
     return text;
 }
 
-/// Whether a write of at most PIPE_BUF bytes would not block. Linux says so of a pipe with a free page.
-bool takesBytes(int descriptor)
+/// Whether a write of at most PIPE_BUF bytes would not block. Linux reports a pipe with a free page as writable.
+bool isWritable(int descriptor)
 {
     pollfd asked{descriptor, POLLOUT, 0};
     return poll(&asked, 1, 0) > 0 && (asked.revents & POLLOUT) != 0;
@@ -62,10 +63,10 @@
     const double elapsed = std::chrono::duration<double>(now - m_updated).count();
     m_updated = now;
     m_level = std::min(m_limits.burstBytes, m_level + std::max(0.0, elapsed) * m_limits.bytesPerSecond);
-    const double kept = severity >= google::GLOG_ERROR ? 0
-        : severity == google::GLOG_WARNING             ? m_limits.reservedForErrors
-                                                       : m_limits.reservedForWarnings;
-    if (m_level - static_cast<double>(bytes) < kept * m_limits.burstBytes) {
+    const double reserved = severity >= google::GLOG_ERROR ? 0
+        : severity == google::GLOG_WARNING                 ? m_limits.reservedForErrors
+                                                           : m_limits.reservedForWarnings;
+    if (m_level - static_cast<double>(bytes) < reserved * m_limits.burstBytes) {
         return false;
     }
     m_level -= static_cast<double>(bytes);
@@ -109,7 +110,7 @@
 {
     const std::lock_guard lock(m_mutex);
     add(severity, std::string_view(message, bytes));
-    if (m_buffer.size() >= flushFrom) {
+    if (m_buffer.size() >= flushThresholdBytes) {
         writeReady();
     }
 }
@@ -129,8 +130,8 @@
 
 void LogOutput::add(google::LogSeverity severity, std::string_view message)
 {
-    std::string line = timestamp(m_clock.wallNow()) + ' ' + mark(severity) + ' ';
-    // What a caller sent may stand in a field; a line break in it would make a line of its own.
+    std::string line = timestamp(m_clock.wallNow()) + ' ' + severityLetter(severity) + ' ';
+    // A field may contain text from a caller, in which a line break would start a new line of the log.
     std::replace_copy_if(
         message.begin(), message.end(), std::back_inserter(line), [](char c) { return c == '\n' || c == '\r'; }, ' ');
     line += '\n';
@@ -146,21 +147,22 @@
 
 void LogOutput::logDropped()
 {
-    const std::uint64_t untold = m_counters.dropped - m_reportedDropped;
-    // Only once the reader follows again: until then the sentence itself would take the room of other lines.
+    const std::uint64_t unreported = m_counters.dropped - m_reportedDropped;
+    // Dropped lines are reported only when the reader keeps up again, since until then the report itself would displace
+    // other lines.
     const TimePoint now = m_clock.now();
-    if (untold == 0 || m_broken || m_buffer.size() >= flushFrom || now < m_nextReport) {
+    if (unreported == 0 || m_broken || m_buffer.size() >= flushThresholdBytes || now < m_nextReport) {
         return;
     }
     m_reportedDropped = m_counters.dropped;
-    m_nextReport = now + tellEvery;
-    add(google::GLOG_ERROR, "log: Dropped lines. count=" + std::to_string(untold));
+    m_nextReport = now + reportInterval;
+    add(google::GLOG_ERROR, "log: Dropped lines. count=" + std::to_string(unreported));
 }
 
 void LogOutput::writeReady()
 {
     std::size_t done = 0;
-    while (!m_broken && done < m_buffer.size() && takesBytes(m_descriptor)) {
+    while (!m_broken && done < m_buffer.size() && isWritable(m_descriptor)) {
         const std::size_t part = std::min<std::size_t>(m_buffer.size() - done, PIPE_BUF);
         const ssize_t written = write(m_descriptor, m_buffer.data() + done, part);
         if (written > 0) {
--- a/src/base/logoutput_test.cpp
+++ b/src/base/logoutput_test.cpp
@@ -11,7 +11,7 @@
 using namespace papayastep::base;
 using namespace std::chrono_literals;
 
-/// A pipe whose reading end is read only when a test says so.
+/// A pipe whose reading end is read only at the request of a test.
 struct PipeFixture
 {
     PipeFixture()
@@ -24,7 +24,7 @@
         close(ends[1]);
     }
 
-    /// All that stands in the pipe.
+    /// Reads all bytes in the pipe.
     std::string readAll() const
     {
         std::string text(1 << 20, '\0');
@@ -58,9 +58,9 @@
     BOOST_TEST(output.counters().bytes == text.size());
 }
 
-// The program that collects the logs hangs and reads no more, so the pipe fills up. A node that blocks on its next line
-// then answers nobody: every caller sees it hang though all servers are well.
-BOOST_AUTO_TEST_CASE(flush_readerStopped_neverWaits)
+// The program that collects the logs stops reading, so the pipe fills up. Guards against a node that blocks on its next
+// line and answers no caller although all servers are healthy.
+BOOST_AUTO_TEST_CASE(flush_readerStopped_neverBlocks)
 {
     LogLimits limits;
     limits.burstBytes = 1e9;
@@ -74,7 +74,7 @@
     const auto counters = output.counters();
     BOOST_TEST(counters.dropped > 0U);
     BOOST_TEST(counters.written + counters.dropped == 10'000U);
-    // It reads again: what the buffer held comes, and then a line that tells how many are missing.
+    // The reader reads again: it receives the buffered lines and then a line with the number of dropped lines.
     std::string text;
     for (int i = 0; i < 100; ++i) {
         text += readAll();
@@ -86,9 +86,9 @@
     BOOST_TEST(text.find("log: Dropped lines. count=" + std::to_string(counters.dropped)) != std::string::npos);
 }
 
-// In an overload every request makes lines. If all were dropped alike, the line of the one request that a user
-// complains about would most likely be missing.
-BOOST_AUTO_TEST_CASE(budget_floodOfRoutineLines_keepsFailures)
+// In an overload every request is logged. Guards against dropping all lines alike, since the line about a failed
+// request would then most likely be missing.
+BOOST_AUTO_TEST_CASE(budget_floodOfRoutineLines_keepsWarningsAndErrors)
 {
     LogLimits limits;
     limits.burstBytes = 20'000;
@@ -107,7 +107,7 @@
     BOOST_TEST(output.counters().dropped > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(budget_afterTime_comesBack)
+BOOST_AUTO_TEST_CASE(budget_afterTime_isRefilled)
 {
     LogLimits limits;
     limits.burstBytes = 1000;
--- a/src/base/resultcode_test.cpp
+++ b/src/base/resultcode_test.cpp
@@ -41,7 +41,8 @@
 
 }
 
-// A code is added and its row is forgotten: an operator looks up the number of an error and finds nothing.
+// Guards against a code that is added without its row on the page, so that an operator finds nothing about the number
+// of an error.
 BOOST_FIXTURE_TEST_CASE(errorsPage_besideTheCode_hasARowForEachCode, ErrorsPage)
 {
     for (const ResultCode code : failures) {
--- a/src/base/statechart.cpp
+++ b/src/base/statechart.cpp
@@ -22,7 +22,7 @@
 {
     const auto found = std::find(names.begin(), names.end(), name);
     if (found == names.end()) {
-        fail(chart, "the code does not know '" + name + "'");
+        fail(chart, "the code has no state or event '" + name + "'");
     }
     return static_cast<int>(found - names.begin());
 }
@@ -30,17 +30,17 @@
 std::set<int> reachableFrom(int initial, const std::vector<int> &table, std::size_t eventCount)
 {
     std::set<int> reached;
-    std::vector<int> open{initial};
-    while (!open.empty()) {
-        const int state = open.back();
-        open.pop_back();
+    std::vector<int> pending{initial};
+    while (!pending.empty()) {
+        const int state = pending.back();
+        pending.pop_back();
         if (!reached.insert(state).second) {
             continue;
         }
         for (std::size_t event = 0; event < eventCount; ++event) {
             const int next = table[static_cast<std::size_t>(state) * eventCount + event];
             if (next != noTransition) {
-                open.push_back(next);
+                pending.push_back(next);
             }
         }
     }
@@ -93,19 +93,19 @@
     const auto reached = reachableFrom(chart->m_initial, chart->m_table, events.size());
     for (std::size_t state = 0; state < states.size(); ++state) {
         if (!reached.contains(static_cast<int>(state))) {
-            fail(chart->m_name, "'" + states[state] + "' can't be reached");
+            fail(chart->m_name, "'" + states[state] + "' is unreachable");
         }
         const auto row = chart->m_table.begin() + static_cast<std::ptrdiff_t>(state * events.size());
         const bool canLeave = std::any_of(row, row + static_cast<std::ptrdiff_t>(events.size()), [&](int next) {
             return next != noTransition && next != static_cast<int>(state);
         });
         if (!canLeave && !chart->m_final[state]) {
-            fail(chart->m_name, "'" + states[state] + "' can't be left and is not final");
+            fail(chart->m_name, "'" + states[state] + "' is not final and has no transition to another state");
         }
     }
     for (std::size_t event = 0; event < events.size(); ++event) {
         if (!eventsNamed.contains(static_cast<int>(event))) {
-            fail(chart->m_name, "no transition names '" + events[event] + "'");
+            fail(chart->m_name, "no transition uses event '" + events[event] + "'");
         }
     }
     return chart;
--- a/src/base/statechart_test.cpp
+++ b/src/base/statechart_test.cpp
@@ -31,7 +31,7 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(chart_thatIsComplete_runs, DoorChart)
+BOOST_FIXTURE_TEST_CASE(chart_complete_runs, DoorChart)
 {
     const auto chart = StateChart::parse(goodChart, states, events);
     BOOST_TEST(chart->next(0, 0) == 1);
@@ -40,15 +40,15 @@
     BOOST_TEST(chart->isFinal(2));
 }
 
-// A chart edited by hand names a state that the code lost. Without the check the node would run until the
-// first request that needs it, and that caller would see an internal error.
+// A chart names a state that the code does not have. Guards against a node that starts with such a chart and fails the
+// first request that needs the state with an internal error.
 BOOST_FIXTURE_TEST_CASE(chart_withUnknownState_isRefused, DoorChart)
 {
     const auto code = codeOf(R"({"name":"d","initial":"ajar","final":[],"transitions":[]})");
     BOOST_TEST((code == ResultCode::StateChartInvalid));
 }
 
-// A state that nothing leads to is a transition that somebody forgot.
+// Guards against a missing transition, which leaves a state unreachable.
 BOOST_FIXTURE_TEST_CASE(chart_withUnreachableState_isRefused, DoorChart)
 {
     const auto code = codeOf(R"({"name":"d","initial":"closed","final":["gone"],"transitions":[
@@ -56,7 +56,7 @@
     BOOST_TEST((code == ResultCode::StateChartInvalid));
 }
 
-// An event arrives in a state that has no word for it: the caller of the chart must hear of it.
+// An event occurs in a state that does not define it. The error must reach the caller of the chart.
 BOOST_FIXTURE_TEST_CASE(chart_withoutTransitionForEvent_throws, DoorChart)
 {
     const auto chart = StateChart::parse(goodChart, states, events);
--- a/src/include/papayastep/base/clock.h
+++ b/src/include/papayastep/base/clock.h
@@ -2,25 +2,25 @@
 
 #include <chrono>
 
-/// Time as an interface, so that every decision can be replayed on a manual clock.
+/// An interface to time, so that every decision can be reproduced with a manual clock.
 namespace papayastep::base {
 
 using Duration = std::chrono::nanoseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 using WallTime = std::chrono::time_point<std::chrono::system_clock, Duration>;
 
-/// The only source of time for code that decides.
+/// The only source of time for code that makes decisions.
 class Clock
 {
 public:
     virtual ~Clock() = default;
 
-    /// Monotonic time, which goes on while the VM is suspended: a lease or a grant held by a VM that slept must look as
-    /// old as it is. Only differences mean anything, and only within one process. Timers of the operating system stand
-    /// still meanwhile, so they are set by differences, never by a time of this clock.
+    /// Returns monotonic time that advances while the VM is suspended, so that a lease or grant held by a suspended VM
+    /// has its real age. Only differences within one process are meaningful. Timers of the operating system stop during
+    /// a suspension, so they are set to a difference, never to a time of this clock.
     virtual TimePoint now() const = 0;
 
-    /// Calendar time, for logs and for keys that carry a time. May jump.
+    /// Returns calendar time, for logs and for keys that contain a time. It may jump.
     virtual WallTime wallNow() const = 0;
 };
 
@@ -32,7 +32,7 @@
     WallTime wallNow() const override;
 };
 
-/// A clock that moves only when told; both readings move together.
+/// A clock that advances only by advance(), which moves both times together.
 class ManualClock final : public Clock
 {
 public:
--- a/src/include/papayastep/base/error.h
+++ b/src/include/papayastep/base/error.h
@@ -7,7 +7,7 @@
 
 namespace papayastep::base {
 
-/// Where in the operator's files an error stands. Both parts may be empty.
+/// The position of an error in the files of the operator. Both parts may be empty.
 struct ErrorLocation
 {
     std::string file; ///< Name of the file, without its folder.
@@ -16,7 +16,8 @@
     auto operator<=>(const ErrorLocation &) const = default;
 };
 
-/// The exception of the whole system: a result code, a sentence for a person, and a place if there is one.
+/// The exception of the whole system: a result code, a sentence that describes the error, and its position in a file if
+/// there is one.
 class Error : public std::runtime_error
 {
 public:
@@ -32,7 +33,7 @@
     ErrorLocation m_location;
 };
 
-/// One line: `error NUMBER (Name) in FILE at POINTER: text: detail`, without the empty parts.
+/// Formats an error as one line, `error NUMBER (Name) in FILE at POINTER: text: detail`, without the empty parts.
 std::string describe(ResultCode code, const std::string &detail, const ErrorLocation &location);
 
 }
--- a/src/include/papayastep/base/identifiers.h
+++ b/src/include/papayastep/base/identifiers.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <utility>
 
-/// Names of things, each with a type of its own, so that a zone can't be passed where a VM is meant.
+/// Identifiers, each kind with its own type, so that a zone can't be passed where a VM is expected.
 namespace papayastep::base {
 
-/// A name chosen by an operator or by the platform. `Tag` only tells the kinds apart.
+/// A name chosen by an operator or by the platform. `Tag` only distinguishes the kinds.
 template<typename Tag>
 class Identifier
 {
@@ -32,7 +32,7 @@
 
     auto operator<=>(const Identifier &) const = default;
 
-    /// For the codec of messages (MessagePack): travels as a plain string.
+    /// For the message codec (MessagePack), which encodes an identifier as a plain string.
     template<typename Packer>
     void msgpack_pack(Packer &packer) const
     {
@@ -62,13 +62,13 @@
 using RouteId = Identifier<struct RouteTag>;
 using BackendServerId = Identifier<struct BackendServerTag>;
 
-/// Chosen at random at each start of a node: tells a restarted node from its old self.
+/// A number chosen at random at each start of a node, which distinguishes a restarted node from its previous run.
 using Incarnation = std::uint64_t;
 
-/// The number of a published configuration. Rises with each publication, 0 means none.
+/// The number of a published configuration. It increases with each publication; 0 means none.
 using Revision = std::uint64_t;
 
-/// 128 random bits that name one request of a caller, fleet-wide.
+/// 128 random bits that identify one request of a caller in the whole fleet.
 struct RequestId
 {
     std::uint64_t high = 0;
@@ -77,7 +77,7 @@
     auto operator<=>(const RequestId &) const = default;
 };
 
-/// 32 lower-case hexadecimal digits.
+/// Formats `id` as 32 lower-case hexadecimal digits.
 std::string toString(const RequestId &id);
 
 /// The inverse of toString(). Throws Error(HopMalformed) for anything else.
--- a/src/include/papayastep/base/log.h
+++ b/src/include/papayastep/base/log.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <utility>
 
-/// Log lines of one shape: `PREFIX: Short sentence. name=value name=value`.
+/// Log lines of one format: `PREFIX: Short sentence. name=value name=value`.
 ///
 /// Usage: `PAPAYASTEP_LOG(INFO, "limits") << "Granted tokens." << base::field("workspace", id);`
 /// The prefix is fixed per part (package) of the system, so that an operator can filter by it.
@@ -14,7 +14,7 @@
 
 namespace papayastep::base {
 
-/// A named value at the end of a log line. Holds a reference: use it only within the log statement.
+/// A named value at the end of a log line. It holds a reference and may be used only within the log statement.
 template<typename Value>
 struct LogField
 {
--- a/src/include/papayastep/base/resultcode.h
+++ b/src/include/papayastep/base/resultcode.h
@@ -2,7 +2,7 @@
 
 #include <string_view>
 
-/// Every numbered result of the system. `docs/ERRORS.md` explains each; a test keeps the two alike.
+/// Every numbered result of the system. `docs/ERRORS.md` explains each, and a test checks that the two agree.
 namespace papayastep::base {
 
 // The number, the name in code and the short text of each result. Numbers are never reused:
@@ -88,7 +88,7 @@
 #undef PAPAYASTEP_RESULT_CODE_ENTRY
 };
 
-/// The number of `code`, as it stands in answers and documents.
+/// The number of `code`, as it appears in answers and documents.
 constexpr int number(ResultCode code)
 {
     return static_cast<int>(code);
--- a/src/include/papayastep/base/statechart.h
+++ b/src/include/papayastep/base/statechart.h
@@ -14,13 +14,13 @@
 ///       "transitions": [ {"from": "received", "event": "admitted", "to": "placed"}, .. ],
 ///       "ignored": [ {"state": "answered", "event": "late-answer"}, .. ] }
 ///
-/// Checked when read: unknown or unreachable states, a state that is not final and can't be left, an event
-/// defined twice for a state, and (through `events`) an event of the code that no transition names, all throw
-/// Error(StateChartInvalid). So a chart that the code can't run stops a program at its start, not in the night.
+/// A chart is checked when it is read: unknown or unreachable states, a state that is not final and can't be left, an
+/// event defined twice for a state, and (through `events`) an event of the code that no transition names, all throw
+/// Error(StateChartInvalid). So a chart that the code can't run stops a program at its start, not during operation.
 class StateChart
 {
 public:
-    /// Reads and checks `json`; `states` and `events` are all the names that the code uses.
+    /// Parses and checks `json`; `states` and `events` are all the names that the code uses.
     static std::shared_ptr<const StateChart> parse(std::string_view json,
                                                    const std::vector<std::string> &states,
                                                    const std::vector<std::string> &events);
@@ -28,11 +28,11 @@
     const std::string &name() const;
     int initial() const;
 
-    /// Index of the state after `event` in `state`; `state` itself where the chart ignores the event there.
-    /// Throws Error(StateChartNoTransition) where the chart says nothing.
+    /// Returns the index of the state that follows `event` in `state`, which is `state` itself if the chart ignores the
+    /// event there. Throws Error(StateChartNoTransition) if the chart does not define the event there.
     int next(int state, int event) const;
 
-    /// Whether `event` has a transition (not merely an ignore) in `state`.
+    /// Whether `event` has a transition in `state` and is not merely ignored there.
     bool accepts(int state, int event) const;
 
     bool isFinal(int state) const;
@@ -46,12 +46,12 @@
     std::vector<std::string> m_states;
     std::vector<std::string> m_events;
     std::vector<bool> m_final;
-    std::vector<int> m_table; ///< state * events + event -> next state, or noTransition.
+    std::vector<int> m_table; ///< At index state * number of events + event: the next state, or noTransition.
     int m_initial = 0;
 };
 
-/// One running instance of a chart. `State` and `Event` are enums that start at 0 and follow the names
-/// that the chart was parsed with.
+/// A running instance of a chart. `State` and `Event` are enums whose values start at 0, in the order of the names with
+/// which the chart was parsed.
 template<typename State, typename Event>
 class StateMachine
 {
--- a/src/include/papayastep/wire/envelope.h
+++ b/src/include/papayastep/wire/envelope.h
@@ -7,74 +7,80 @@
 
 namespace papayastep::wire {
 
-/// Bits that change how the bytes of an envelope must be read. A receiver refuses a bit that it does not know,
-/// since ignoring it would mean to misread all that follows (Felix wire protocol: reserved flags must be zero).
+/// Flags that change how the bytes of an envelope are decoded. A receiver refuses an envelope with a flag that it does
+/// not know, since it would decode all following bytes wrongly (as in the Felix wire protocol, where reserved flags
+/// must be zero).
 using LayoutBits = std::uint32_t;
 constexpr LayoutBits layoutPlain = 0;
 constexpr LayoutBits layoutCompressed = 1; ///< The payload is a zstd frame.
 constexpr LayoutBits knownLayout = layoutCompressed;
 
-/// What a node can do. Two nodes use what both can; there is no version number to compare (Felix: capabilities).
+/// Features that a node supports. Two nodes use the features that both support, so there is no version number to
+/// compare (as the capabilities of Felix).
 using CapabilityBits = std::uint64_t;
 constexpr CapabilityBits capabilityCompressed = 1;
 constexpr CapabilityBits capabilityLedgerHandOver = 2;
 constexpr CapabilityBits allCapabilities = capabilityCompressed | capabilityLedgerHandOver;
 
-/// The longest message that a node reads, in bytes. A configuration value of the platform is at most 1 MB.
+/// Maximum size of a message that a node accepts, in bytes. A configuration value of the platform has at most 1 MB.
 constexpr std::size_t maxMessageBytes = 2u << 20;
 
-/// What surrounds each message between nodes.
+/// A message between nodes: the fields that every message has, and its payload.
 struct Envelope
 {
     base::VmId sender;
     base::Incarnation incarnation = 0;
-    std::uint64_t sequence = 0; ///< Rises with each message of an incarnation.
-    base::Revision revision = 0; ///< The configuration in force at the sender: repairs what a spread missed.
+    std::uint64_t sequence = 0; ///< Increases with each message of an incarnation.
+    /// Revision of the sender's active configuration, from which a receiver detects one that it missed.
+    base::Revision revision = 0;
     CapabilityBits capabilities = 0;
     MessageKind kind = MessageKind::RevisionNotice;
     std::string payload;
-    /// Where the sender listens, `address:port`, for a receiver whose VM list does not name it. Empty in most messages.
+    /// Address on which the sender listens, as `address:port`, for a receiver whose VM list does not contain the
+    /// sender. Empty in most messages.
     std::string replyTo;
 
     auto operator<=>(const Envelope &) const = default;
 };
 
-/// Seals and opens envelopes with the fleet secret (BLAKE2b keyed hash, libsodium).
+/// Encodes envelopes and authenticates them with the fleet secret (BLAKE2b keyed hash, libsodium).
 class EnvelopeCodec
 {
 public:
-    /// `secret` has at least 16 bytes, or Error(SettingsSecretMissing) is thrown.
+    /// Throws Error(SettingsSecretMissing) if `secret` has fewer than 16 bytes.
     explicit EnvelopeCodec(const std::string &secret);
 
-    /// The bytes of `envelope`. The payload is compressed when `compress` is set and it pays.
+    /// Encodes `envelope` and appends its authentication tag. The payload is compressed if `compress` is set and
+    /// compression makes it smaller.
     std::string seal(const Envelope &envelope, bool compress = false) const;
 
-    /// Throws Error with MessageMalformed, MessageUnauthenticated or MessageUnknownLayout.
+    /// Checks the tag and decodes the envelope. Throws Error with MessageMalformed, MessageUnauthenticated or
+    /// MessageUnknownLayout.
     Envelope open(std::string_view bytes) const;
 
 private:
     std::string m_key;
 };
 
-/// Refuses messages that were seen before. A message that was recorded and sent again by somebody on the network
-/// carries a good tag; its sequence gives it away. Late and crossed messages within the window still pass once.
+/// Detects replayed messages. A message that is recorded on the network and sent again has a valid tag, but a sequence
+/// number that has been received before. Delayed and reordered messages within the window are accepted once.
 class ReplayWindow
 {
 public:
-    /// Whether (sender, incarnation, sequence) is new. Remembers it.
+    /// Returns whether (sender, incarnation, sequence) is new, and records it.
     bool accept(const base::VmId &sender, base::Incarnation incarnation, std::uint64_t sequence);
 
-    /// Drops what is known of VMs that are gone.
+    /// Removes the record of a VM that no longer exists.
     void forget(const base::VmId &sender);
 
 private:
-    struct Seen
+    struct ReceivedSequences
     {
         base::Incarnation incarnation = 0;
         std::uint64_t highest = 0;
-        std::uint64_t bitmap = 0; ///< Bit i: highest - i was seen.
+        std::uint64_t bitmap = 0; ///< Bit i is set if sequence number `highest - i` was received.
     };
-    std::map<base::VmId, Seen> m_seen;
+    std::map<base::VmId, ReceivedSequences> m_received;
 };
 
 }
--- a/src/include/papayastep/wire/hop.h
+++ b/src/include/papayastep/wire/hop.h
@@ -6,11 +6,11 @@
 
 namespace papayastep::wire {
 
-/// Names of the HTTP headers of a hop between two nodes. Only nodes set them.
+/// Names of the HTTP header fields of a hop between two nodes. Only nodes set them.
 constexpr const char *hopHeader = "Papayastep-Hop";
 constexpr const char *hopReplyHeader = "Papayastep-Hop-Reply";
 
-/// What an entry node tells a serving node with each attempt.
+/// Data that an entry node sends to a serving node with each attempt.
 struct HopRequest
 {
     std::uint64_t requestHigh = 0;
@@ -23,23 +23,24 @@
     base::BackendServerId server;
     base::RouteId route;
     base::Revision revision = 0;
-    std::int64_t remaining = 0; ///< Nanoseconds of the request's deadline that are left when it is sent.
-    std::int64_t sent = 0; ///< The entry's monotonic clock when it is sent, in nanoseconds.
+    std::int64_t remaining = 0; ///< Time left until the request's deadline when the attempt is sent, in nanoseconds.
+    std::int64_t sent = 0; ///< Time of the entry node's monotonic clock when the attempt is sent, in nanoseconds.
     bool idempotent = false;
-    bool redirected = false; ///< Came here on the advice of a sibling: no more advice.
-    base::ServiceId callerService; ///< Of the VM where the request entered; empty: not known.
-    std::string callerId; ///< The caller's own name for the request, for the logs of both sides; may be empty.
+    bool redirected = false; ///< Whether the advice of a sibling led here. Such an attempt gets no further advice.
+    base::ServiceId callerService; ///< Service of the VM at which the request entered; empty if unknown.
+    std::string callerId; ///< The caller's own id of the request, for the logs of both nodes; may be empty.
     std::uint8_t priority = 0; ///< 0 is the most urgent.
-    std::int64_t remainingTarget = 0; ///< Nanoseconds after which an answer is worth less, like `remaining`; 0: none.
-    bool lastResort = false; ///< All servers were found ejected, so this one is to try whatever it thinks of itself.
-    bool isNestedCall = false; ///< Made by a backend server beside the entry in a run that is at work.
+    /// Nanoseconds after which an answer is worth less, relative like `remaining`; 0: not stated.
+    std::int64_t remainingTarget = 0;
+    bool lastResort = false; ///< All servers were ejected, so this server is tried whatever its own state is.
+    bool isNestedCall = false; ///< Sent by a backend server on the entry's VM during a run that is in progress there.
 
     base::RequestId requestId() const
     {
         return {requestHigh, requestLow};
     }
 
-    /// The name under which both nodes log the request.
+    /// The id under which both nodes log the request.
     std::string logId() const
     {
         return callerId.empty() ? toString(requestId()) : callerId;
@@ -68,29 +69,29 @@
                    isNestedCall)
 };
 
-/// How an attempt ended, as the serving node knows it.
+/// The outcome of an attempt as far as the serving node knows it.
 enum class HopOutcome : std::uint8_t {
     Answered = 0, ///< The answer of the backend server follows.
-    NotRun = 1, ///< It was never handed to a backend server and never will be.
-    Unknown = 2, ///< It was handed over, and no whole answer came.
+    NotRun = 1, ///< The attempt was never sent to a backend server and never will be.
+    Unknown = 2, ///< The attempt was sent to a backend server, and no complete answer was received.
 };
 
-/// What a serving node tells the entry with each answer.
+/// Data that a serving node sends to the entry node with each answer.
 struct HopReply
 {
     std::uint64_t requestHigh = 0;
     std::uint64_t requestLow = 0;
     std::uint32_t attempt = 0;
     std::uint8_t outcome = 0; ///< HopOutcome.
-    std::int32_t code = 0; ///< ResultCode where the outcome is not Answered.
+    std::int32_t code = 0; ///< ResultCode if the outcome is not Answered.
     std::uint32_t retryAfterMs = 0;
-    base::BackendServerId server; ///< The one that answered.
-    base::BackendServerId advice; ///< With NotRun: a sibling that is better placed to take it, or empty.
+    base::BackendServerId server; ///< The backend server that answered.
+    base::BackendServerId advice; ///< With NotRun: a sibling that is in a better position to run the attempt, or empty.
     base::Revision revision = 0;
     std::uint32_t queueMicros = 0;
     std::uint32_t serverMicros = 0;
-    std::string report; ///< State of the server and its siblings (package health), encoded there.
-    std::uint8_t grayPercent = 0; ///< How likely the server is in a spell of gray failure.
+    std::string report; ///< State of the server and its siblings, encoded by package health.
+    std::uint8_t grayPercent = 0; ///< Probability in percent that the server is in an episode of gray failure.
     bool callFailed = false; ///< The server answered with a failure because a call of its own failed.
 
     base::RequestId requestId() const
@@ -115,8 +116,8 @@
                    callFailed)
 };
 
-/// Kind CancelAttempt, entry to serving node: don't start the attempt, and say whether it has started.
-/// Resent until answered or given up.
+/// Message of kind CancelAttempt from the entry node to the serving node: requests that the attempt is not started, and
+/// asks whether it has started. It is resent until it is answered or the entry node gives up.
 struct CancelAttempt
 {
     std::uint64_t requestHigh = 0;
@@ -124,13 +125,13 @@
     std::uint32_t attempt = 0;
     std::int64_t remaining = 0; ///< As in HopRequest.
     std::int64_t sent = 0; ///< As in HopRequest.
-    bool stop = false; ///< Also stop it if it has started: its answer is no longer wanted.
+    bool stop = false; ///< Also stops an attempt that has started, because its answer is no longer needed.
 
     auto operator<=>(const CancelAttempt &) const = default;
     MSGPACK_DEFINE(requestHigh, requestLow, attempt, remaining, sent, stop)
 };
 
-/// Kind CancelResult, the answer to a CancelAttempt.
+/// Message of kind CancelResult, the answer to a CancelAttempt.
 struct CancelResult
 {
     std::uint64_t requestHigh = 0;
@@ -142,8 +143,8 @@
     MSGPACK_DEFINE(requestHigh, requestLow, attempt, answer)
 };
 
-/// Seals hop headers with the fleet secret. The tag of a request covers its method, target and body too, so that an
-/// outsider can neither make a hop nor change one.
+/// Encodes hop headers and authenticates them with the fleet secret. The tag of a request also covers its method,
+/// target and body, so that an outsider can neither forge nor change a hop.
 class HopCodec
 {
 public:
--- a/src/include/papayastep/wire/message.h
+++ b/src/include/papayastep/wire/message.h
@@ -9,12 +9,12 @@
 #include <string>
 #include <string_view>
 
-/// Messages between nodes. Every message is one-way and idempotent: a lost one is repaired by the next, a repeated
-/// one is recognised by the ids inside it. Payloads are value types with MSGPACK_DEFINE, encoded as arrays, so a
-/// newer node may append fields and an older one skips them.
+/// Messages between nodes. Every message is one-way and idempotent: the next message makes up for a lost one, and a
+/// duplicate is recognised by the ids in it. Payloads are value types with MSGPACK_DEFINE that are encoded as arrays,
+/// so a newer node may append fields and an older node skips them.
 namespace papayastep::wire {
 
-/// What a payload is. Numbers are stable; each package owns a range.
+/// The kind of a payload. The numbers are stable, and each package has its own range.
 enum class MessageKind : std::uint8_t {
     // 10-19: limits
     TokenRequest = 10,
@@ -54,7 +54,7 @@
     LedgerFetchResult = 57,
 };
 
-/// A payload of a message on its way: to whom, what kind, and its encoded bytes.
+/// A message to be sent: its receiver, its kind and its encoded payload.
 struct Outgoing
 {
     base::VmId to;
@@ -64,7 +64,7 @@
     auto operator<=>(const Outgoing &) const = default;
 };
 
-/// MessagePack bytes of `value`.
+/// Encodes `value` as MessagePack.
 template<typename Value>
 std::string encode(const Value &value)
 {
@@ -73,17 +73,18 @@
     return std::string(buffer.data(), buffer.size());
 }
 
-/// How deep arrays may be nested in a message.
+/// Maximum nesting depth of arrays in a message.
 constexpr std::size_t maxMessageDepth = 16;
 
-/// Five bytes can announce an array of four billion fields, for which the library takes the memory before it reads
-/// on: the node would die of it. No true message has more fields than bytes.
+/// Limits for unpacking a message of `bytes` bytes. Five bytes can announce an array of four billion fields, for which
+/// the library allocates memory before it reads on, so that the node would run out of memory. No valid message has more
+/// fields than bytes.
 inline msgpack::unpack_limit unpackLimits(std::size_t bytes)
 {
     return msgpack::unpack_limit(bytes, bytes, bytes, bytes, bytes, maxMessageDepth);
 }
 
-/// The inverse of encode(). Throws Error(MessageMalformed) for bytes that are no such value.
+/// The inverse of encode(). Throws Error(MessageMalformed) if the bytes do not encode such a value.
 template<typename Value>
 Value decode(std::string_view bytes)
 {
@@ -97,7 +98,7 @@
     }
 }
 
-/// Shorthand for a package that answers with messages.
+/// Makes a message to `to` with the encoded `value` as its payload.
 template<typename Value>
 Outgoing outgoing(const base::VmId &to, MessageKind kind, const Value &value)
 {
--- a/src/include/papayastep/wire/seal.h
+++ b/src/include/papayastep/wire/seal.h
@@ -11,14 +11,16 @@
 constexpr std::size_t tagBytes = 16;
 using Tag = std::array<unsigned char, tagBytes>;
 
-/// A key for tags from the fleet secret; `purpose` keeps the keys of different protocols apart, so that a message
-/// of one can't be passed off as one of another. Throws Error(SettingsSecretMissing) below 16 bytes.
+/// Derives a key for authentication tags from the fleet secret. `purpose` makes the keys of different protocols differ,
+/// so that a message of one protocol is not accepted by another. Throws Error(SettingsSecretMissing) if the secret has
+/// fewer than 16 bytes.
 std::string deriveKey(const std::string &secret, std::string_view purpose);
 
-/// The keyed hash (BLAKE2b) over `parts`, each with its length, so that bytes can't move between parts.
+/// Computes the authentication tag: the keyed hash (BLAKE2b) over `parts`, each preceded by its length, so that bytes
+/// can't be moved from one part to another.
 Tag tagOf(const std::string &key, std::initializer_list<std::string_view> parts);
 
-/// Compares in constant time.
+/// Compares a tag with `bytes` in constant time.
 bool sameTag(const Tag &tag, std::string_view bytes);
 
 }
--- a/src/wire/envelope.cpp
+++ b/src/wire/envelope.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t compressFromBytes = 256;
+constexpr std::size_t minCompressedBytes = 256;
 constexpr int compressionLevel = 3;
 
 using EnvelopeFields = std::tuple<LayoutBits,
@@ -37,14 +37,15 @@
 std::string decompressed(const std::string &payload)
 {
     const unsigned long long size = ZSTD_getFrameContentSize(payload.data(), payload.size());
-    // A frame may claim any size; the bound keeps a hostile one from taking the node's memory.
+    // A frame can declare any size. The limit prevents a hostile frame from using up the memory of the node.
     if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > maxMessageBytes) {
-        throw base::Error(base::ResultCode::MessageMalformed, "the compressed payload has no acceptable size");
+        throw base::Error(base::ResultCode::MessageMalformed,
+                          "the compressed payload declares no size or one above the limit");
     }
     std::string out(size, '\0');
     const std::size_t got = ZSTD_decompress(out.data(), out.size(), payload.data(), payload.size());
     if (ZSTD_isError(got) != 0 || got != size) {
-        throw base::Error(base::ResultCode::MessageMalformed, "the compressed payload is damaged");
+        throw base::Error(base::ResultCode::MessageMalformed, "the compressed payload cannot be decompressed");
     }
     return out;
 }
@@ -60,7 +61,7 @@
 {
     LayoutBits layout = layoutPlain;
     std::string payload = envelope.payload;
-    if (compress && payload.size() >= compressFromBytes) {
+    if (compress && payload.size() >= minCompressedBytes) {
         std::string smaller = compressed(payload);
         if (smaller.size() < payload.size()) {
             payload = std::move(smaller);
@@ -85,16 +86,16 @@
 Envelope EnvelopeCodec::open(std::string_view bytes) const
 {
     if (bytes.size() <= tagBytes || bytes.size() > maxMessageBytes) {
-        throw base::Error(base::ResultCode::MessageMalformed, "the message has an unacceptable size");
+        throw base::Error(base::ResultCode::MessageMalformed, "the message is too short or too long");
     }
     const std::string_view body = bytes.substr(0, bytes.size() - tagBytes);
     if (!sameTag(tagOf(m_key, {body}), bytes.substr(body.size()))) {
-        throw base::Error(base::ResultCode::MessageUnauthenticated, "the tag does not match");
+        throw base::Error(base::ResultCode::MessageUnauthenticated, "the authentication tag does not match");
     }
     auto fields = decode<EnvelopeFields>(body);
     const LayoutBits layout = std::get<0>(fields);
     if ((layout & ~knownLayout) != 0) {
-        throw base::Error(base::ResultCode::MessageUnknownLayout, "layout bits " + std::to_string(layout));
+        throw base::Error(base::ResultCode::MessageUnknownLayout, "unknown layout bits in " + std::to_string(layout));
     }
     std::string payload = std::move(std::get<7>(fields));
     if ((layout & layoutCompressed) != 0) {
@@ -113,29 +114,29 @@
 bool ReplayWindow::accept(const base::VmId &sender, base::Incarnation incarnation, std::uint64_t sequence)
 {
     constexpr std::uint64_t windowSize = 64;
-    Seen &seen = m_seen[sender];
-    if (seen.incarnation != incarnation) {
-        seen = Seen{incarnation, sequence, 1};
+    ReceivedSequences &received = m_received[sender];
+    if (received.incarnation != incarnation) {
+        received = ReceivedSequences{incarnation, sequence, 1};
         return true;
     }
-    if (sequence > seen.highest) {
-        const std::uint64_t shift = sequence - seen.highest;
-        seen.bitmap = shift >= windowSize ? 0 : seen.bitmap << shift;
-        seen.bitmap |= 1;
-        seen.highest = sequence;
+    if (sequence > received.highest) {
+        const std::uint64_t shift = sequence - received.highest;
+        received.bitmap = shift >= windowSize ? 0 : received.bitmap << shift;
+        received.bitmap |= 1;
+        received.highest = sequence;
         return true;
     }
-    const std::uint64_t age = seen.highest - sequence;
-    if (age >= windowSize || (seen.bitmap & (std::uint64_t(1) << age)) != 0) {
+    const std::uint64_t age = received.highest - sequence;
+    if (age >= windowSize || (received.bitmap & (std::uint64_t(1) << age)) != 0) {
         return false;
     }
-    seen.bitmap |= std::uint64_t(1) << age;
+    received.bitmap |= std::uint64_t(1) << age;
     return true;
 }
 
 void ReplayWindow::forget(const base::VmId &sender)
 {
-    m_seen.erase(sender);
+    m_received.erase(sender);
 }
 
 }
--- a/src/wire/envelope_test.cpp
+++ b/src/wire/envelope_test.cpp
@@ -32,14 +32,15 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(envelope_sealedAndOpened_isTheSame, SealedEnvelope)
+BOOST_FIXTURE_TEST_CASE(envelope_sealedAndOpened_isUnchanged, SealedEnvelope)
 {
     BOOST_TEST((codec.open(codec.seal(envelope)) == envelope));
     BOOST_TEST((codec.open(codec.seal(envelope, true)) == envelope));
     BOOST_TEST(codec.seal(envelope, true).size() < codec.seal(envelope).size());
 }
 
-// Somebody on the network changes a message. The receiver would grant tokens or eject servers on a forged word.
+// Guards against a message that is changed on the network: the receiver would grant tokens or eject servers because of
+// a forged message.
 BOOST_FIXTURE_TEST_CASE(envelope_withAnyBitFlipped_isRefused, SealedEnvelope)
 {
     const std::string good = codec.seal(envelope);
@@ -51,15 +52,15 @@
     BOOST_TEST((codeOf("short") == base::ResultCode::MessageMalformed));
 }
 
-// A newer node sends a layout that this one can't read. Reading on would misparse every later field.
+// A newer node sends a layout that this node does not know. Guards against decoding every following field wrongly.
 BOOST_FIXTURE_TEST_CASE(envelope_withUnknownLayoutBit_isRefused, SealedEnvelope)
 {
-    EnvelopeCodec stranger("another secret of tests");
-    BOOST_TEST((codeOf(stranger.seal(envelope)) == base::ResultCode::MessageUnauthenticated));
+    EnvelopeCodec otherFleet("another secret of tests");
+    BOOST_TEST((codeOf(otherFleet.seal(envelope)) == base::ResultCode::MessageUnauthenticated));
 }
 
-// A recorded message is sent again: the tag is good, and a grant would count twice.
-BOOST_AUTO_TEST_CASE(replayWindow_messageSeenBefore_isRefused)
+// A recorded message with a valid tag is sent again. Guards against a grant that is counted twice.
+BOOST_AUTO_TEST_CASE(replayWindow_messageReceivedBefore_isRefused)
 {
     ReplayWindow window;
     const base::VmId sender("vm-1");
--- a/src/wire/hop.cpp
+++ b/src/wire/hop.cpp
@@ -19,7 +19,7 @@
     }
 }
 
-std::string contextOf(std::string_view method, std::string_view target, std::string_view body)
+std::string authenticatedContext(std::string_view method, std::string_view target, std::string_view body)
 {
     std::string context;
     context.reserve(method.size() + target.size() + body.size() + 2);
@@ -39,7 +39,7 @@
                                   std::string_view target,
                                   std::string_view body) const
 {
-    return seal(encode(request), contextOf(method, target, body));
+    return seal(encode(request), authenticatedContext(method, target, body));
 }
 
 HopRequest HopCodec::openRequest(std::string_view header,
@@ -47,7 +47,7 @@
                                  std::string_view target,
                                  std::string_view body) const
 {
-    return decodeHop<HopRequest>(open(header, contextOf(method, target, body)));
+    return decodeHop<HopRequest>(open(header, authenticatedContext(method, target, body)));
 }
 
 std::string HopCodec::sealReply(const HopReply &reply) const
@@ -73,7 +73,7 @@
     }
     const auto decoded = fromBase64(header, Base64::UrlSafe);
     if (!decoded) {
-        throw base::Error(base::ResultCode::HopMalformed, "the hop header is not base64");
+        throw base::Error(base::ResultCode::HopMalformed, "the hop header is not valid base64");
     }
     std::string bytes = *decoded;
     if (bytes.size() <= tagBytes) {
@@ -82,7 +82,7 @@
     const std::string tag = bytes.substr(bytes.size() - tagBytes);
     bytes.resize(bytes.size() - tagBytes);
     if (!sameTag(tagOf(m_key, {bytes, context}), tag)) {
-        throw base::Error(base::ResultCode::HopUnauthenticated, "the tag does not match");
+        throw base::Error(base::ResultCode::HopUnauthenticated, "the authentication tag does not match");
     }
     return bytes;
 }
--- a/src/wire/hop_test.cpp
+++ b/src/wire/hop_test.cpp
@@ -33,12 +33,13 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(hop_sealedAndOpened_isTheSame, SealedHop)
+BOOST_FIXTURE_TEST_CASE(hop_sealedAndOpened_isUnchanged, SealedHop)
 {
     BOOST_TEST((codec.openRequest(header, "POST", "/refunds", "body") == request));
 }
 
-// Somebody on the network changes a request on its way to a serving node. A refund would be paid for another sum.
+// Guards against a request that is changed on the network on its way to a serving node, for example to refund another
+// amount.
 BOOST_FIXTURE_TEST_CASE(hop_withAnyPartChanged_isRefused, SealedHop)
 {
     BOOST_CHECK_EXCEPTION(codec.openRequest(header, "PUT", "/refunds", "body"), base::Error, isUnauthenticated);
@@ -52,10 +53,10 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(hop_ofAnotherFleetOrCutOff_isRefused, SealedHop)
+BOOST_FIXTURE_TEST_CASE(hop_ofAnotherFleetOrTruncated_isRefused, SealedHop)
 {
-    const HopCodec stranger("another secret of tests");
-    BOOST_CHECK_EXCEPTION(stranger.openRequest(header, "POST", "/refunds", "body"), base::Error, isUnauthenticated);
+    const HopCodec otherFleet("another secret of tests");
+    BOOST_CHECK_EXCEPTION(otherFleet.openRequest(header, "POST", "/refunds", "body"), base::Error, isUnauthenticated);
     for (std::size_t size = 0; size < header.size(); ++size) {
         BOOST_CHECK_EXCEPTION(
             codec.openRequest(header.substr(0, size), "POST", "/refunds", "body"), base::Error, isRefused);
@@ -64,8 +65,9 @@
         codec.openRequest(std::string(8193, 'A'), "POST", "/refunds", "body"), base::Error, isRefused);
 }
 
-// A late reply to one request meets another. Its ids and attempt tell it apart, and a request never passes as a reply.
-BOOST_FIXTURE_TEST_CASE(hopReply_ofAnotherRequest_isToldApart, SealedHop)
+// A late reply to one request is received for another. Its ids and attempt distinguish it, and a request header is
+// never accepted as a reply.
+BOOST_FIXTURE_TEST_CASE(hopReply_ofAnotherRequest_isDistinguished, SealedHop)
 {
     HopReply reply;
     reply.requestHigh = request.requestHigh;
@@ -79,7 +81,8 @@
         codec.openRequest(codec.sealReply(reply), "POST", "/refunds", "body"), base::Error, isUnauthenticated);
 }
 
-// Five bytes announce four billion fields, or nest arrays without end. The receiver ran out of memory on them.
+// Five bytes announce four billion fields, or arrays are nested very deeply. Guards against a receiver that runs out of
+// memory because of them.
 BOOST_AUTO_TEST_CASE(message_announcingMoreThanItHolds_isRefused)
 {
     for (const std::string &bytes : {std::string("\xdd\xff\xff\xff\xff"),
--- a/src/wire/seal.cpp
+++ b/src/wire/seal.cpp
@@ -22,7 +22,7 @@
 std::string deriveKey(const std::string &secret, std::string_view purpose)
 {
     if (sodium_init() < 0) {
-        throw base::Error(base::ResultCode::Internal, "libsodium does not start");
+        throw base::Error(base::ResultCode::Internal, "libsodium cannot be initialised");
     }
     if (secret.size() < minSecretBytes) {
         throw base::Error(base::ResultCode::SettingsSecretMissing, "the fleet secret has fewer than 16 bytes");
