--- a/src/include/papayastep/net/asio.h
+++ b/src/include/papayastep/net/asio.h
@@ -27,7 +27,7 @@
 template<typename Value>
 using Awaitable = asio::awaitable<Value>;
 
-/// Completion token: the coroutine goes on, and `error` holds the result instead of an exception.
+/// Completion token with which the coroutine resumes normally and `error` receives the result, instead of an exception.
 inline auto into(beast::error_code &error)
 {
     return asio::redirect_error(asio::use_awaitable, error);
--- a/src/include/papayastep/net/callstatistics.h
+++ b/src/include/papayastep/net/callstatistics.h
@@ -10,16 +10,16 @@
 
 namespace papayastep::net {
 
-/// Which call of an outside service, and how it was answered.
+/// A call of an external service together with the result of its answer. Calls are counted per kind.
 struct CallKind
 {
     std::string call;
-    std::string answer; ///< `ok`, or the number of the error.
+    std::string answer; ///< `ok`, or the number of the result code of the error.
 
     auto operator<=>(const CallKind &) const = default;
 };
 
-/// Calls of one kind since the start.
+/// Number and total duration of the calls of one kind since the start of the process.
 struct CallTotal
 {
     std::uint64_t calls = 0;
@@ -28,11 +28,12 @@
     auto operator<=>(const CallTotal &) const = default;
 };
 
-/// Counts the calls of an outside service where they are made, so that what was answered from a copy does not count.
+/// Counts the calls of an external service where they are sent, so that a read that is answered from a copy is not
+/// counted.
 class CallStatistics
 {
 public:
-    void record(std::string_view call, base::ResultCode answer, base::Duration took);
+    void record(std::string_view call, base::ResultCode answer, base::Duration duration);
 
     const std::map<CallKind, CallTotal> &totals() const;
 
--- a/src/include/papayastep/net/endpoint.h
+++ b/src/include/papayastep/net/endpoint.h
@@ -8,7 +8,7 @@
 
 namespace papayastep::net {
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct Endpoint
 {
     std::string address;
@@ -20,10 +20,10 @@
 /// `address:port`, with brackets around IPv6.
 std::string toString(const Endpoint &endpoint);
 
-/// Parses `address:port`. Throws Error(SettingsSchema) where it is no IP number with a port.
+/// Parses `address:port`. Throws Error(SettingsSchema) if the text is not an IP address with a port.
 Endpoint parseEndpoint(const std::string &text);
 
-/// For Asio. Throws Error(SettingsSchema) where the address is no IP number.
+/// Converts `endpoint` to the type of Asio. Throws Error(SettingsSchema) if its address is not an IP address.
 tcp::endpoint toTcp(const Endpoint &endpoint);
 
 }
--- a/src/include/papayastep/net/httpclient.h
+++ b/src/include/papayastep/net/httpclient.h
@@ -13,10 +13,11 @@
 
 namespace papayastep::net {
 
-/// How far an exchange came. The order matters: what is not beyond Connecting was never seen by the server.
+/// How far an exchange has progressed. The order matters: the request of an exchange that is not beyond Connecting has
+/// not reached the server.
 enum class ExchangeProgress { Connecting, Sending, Acknowledged, HeadReceived, Complete };
 
-/// Why an exchange ended without a whole answer.
+/// Why an exchange ended without a complete answer.
 enum class ExchangeFailure { None, ConnectionRefused, ConnectTimeout, Broken, Cancelled, Malformed };
 
 struct ClientRequest
@@ -27,35 +28,38 @@
 
 class ClientConnection;
 
-/// One request and its answer on a connection of its own. The connection goes back to its pool only after a whole,
-/// timely answer: a late answer can then never be taken for the answer to another request.
+/// One request and its answer on a connection that no other exchange uses at the same time. The connection returns to
+/// its pool only after a complete answer in time, so that a late answer is never taken for the answer to another
+/// request.
 class HttpExchange
 {
 public:
     HttpExchange(asio::io_context &context, class HttpPool &pool, const Endpoint &endpoint);
     ~HttpExchange();
 
-    /// Called when the server acknowledged the request with an interim (1xx) answer.
+    /// Sets the function that is called when the server acknowledges the request with an interim (1xx) answer.
     void onAcknowledged(std::function<void()> callback);
 
-    /// `accept` sees the head of each final answer. One that it refuses belongs to another request (a server answered
-    /// twice or late on this connection): it is read to its end and dropped, and the next one is awaited.
+    /// Sets the function that checks the head of each final answer. An answer that it rejects belongs to another
+    /// request (a server answered twice or late on this connection): its body is read to the end and discarded, and the
+    /// exchange waits for the next answer.
     void onHead(std::function<bool(const ResponseHead &head)> accept);
 
-    /// Sends `request` and reads the answer until it is whole or `holdBytes` of its body are held.
-    /// Never throws for what the network does; see failure().
-    Awaitable<void> run(ClientRequest request, std::size_t holdBytes);
+    /// Sends `request` and reads the answer until it is complete or `bufferBytes` of its body are buffered. Network
+    /// errors are never thrown; failure() returns them.
+    Awaitable<void> run(ClientRequest request, std::size_t bufferBytes);
 
-    /// Ends the exchange at once by closing the connection. run() returns soon after.
+    /// Aborts the exchange at once by closing the connection. run() returns soon afterwards.
     void cancel();
 
     ExchangeProgress progress() const;
     ExchangeFailure failure() const;
 
     const ResponseHead &head() const;
-    /// What was read of the body: all of it once progress() is Complete.
+    /// The buffered part of the body, which is the whole body if progress() is Complete after run().
     std::string &body();
-    /// Reads the next part of a body larger than the held part. Empty at its end (progress() Complete) or failure.
+    /// Reads the next part of a body that is larger than the buffered part. Returns an empty string at the end of the
+    /// body (progress() is Complete) or after a failure.
     Awaitable<std::string> readPart();
 
 private:
@@ -65,9 +69,9 @@
     void beginSending(ClientRequest request);
     Awaitable<bool> readHead(bool isHead);
     Awaitable<bool> readAnyHead(bool isHead);
-    Awaitable<bool> dropBody();
+    Awaitable<bool> discardBody();
     Awaitable<std::string> readBytes();
-    Awaitable<void> readHeldBody(std::size_t holdBytes);
+    Awaitable<void> readBufferedBody(std::size_t bufferBytes);
     bool mayReuse() const;
     void fail(const beast::error_code &error);
     void finish();
@@ -85,21 +89,22 @@
     ExchangeProgress m_progress = ExchangeProgress::Connecting;
     ExchangeFailure m_failure = ExchangeFailure::None;
     bool m_cancelled = false;
-    bool m_foreignAnswer = false; ///< An answer to another request came on this connection.
+    bool m_foreignAnswer = false; ///< Whether an answer to another request arrived on this connection.
 };
 
-/// Idle keep-alive connections to servers, by endpoint.
+/// A pool of idle keep-alive connections to servers, by endpoint.
 class HttpPool
 {
 public:
     struct Limits
     {
         std::size_t idlePerEndpoint = 64;
-        base::Duration idleTimeout
-            = std::chrono::seconds(20); ///< Shorter than the servers', so that they don't close first.
+        /// Shorter than the idle timeouts of the servers, so that a server does not close a connection first.
+        base::Duration idleTimeout = std::chrono::seconds(20);
         base::Duration connectTimeout = std::chrono::milliseconds(500);
-        /// A connection whose other end went away without a word counts as broken after it. Without that, a request on
-        /// it hangs until its deadline; three round trips and some scheduling fit in many times over.
+        /// Time after which a connection counts as broken if its peer has disappeared without closing it. Without it, a
+        /// request on such a connection hangs until its deadline. The timeout is many times as long as three round
+        /// trips with the scheduling delays.
         base::Duration deadPeerTimeout = std::chrono::seconds(2);
     };
 
@@ -108,14 +113,15 @@
 
     const Limits &limits() const;
 
-    /// An idle connection that is still open, or null.
+    /// Removes an idle connection that is still open from the pool and returns it, or returns null if there is none.
     std::shared_ptr<ClientConnection> take(const Endpoint &endpoint);
-    /// `idleTimeout`: after which the server says that it closes the connection.
+    /// Returns `connection` to the pool. `idleTimeout` is the idle time after which the server has announced to close
+    /// it.
     void put(const Endpoint &endpoint,
              std::shared_ptr<ClientConnection> connection,
              std::optional<base::Duration> idleTimeout);
 
-    /// Closes connections that were idle for too long.
+    /// Closes the connections that have been idle for too long.
     void sweep();
     void clear();
 
--- a/src/include/papayastep/net/httpget.h
+++ b/src/include/papayastep/net/httpget.h
@@ -6,7 +6,7 @@
 
 namespace papayastep::net {
 
-/// A whole answer to a read.
+/// A complete answer to a GET request.
 struct GetResult
 {
     unsigned status = 0;
@@ -16,13 +16,13 @@
 
 struct GetLimits
 {
-    base::Duration timeout = std::chrono::seconds(3); ///< For the whole answer.
-    std::size_t bodyBytes = 2'000'000; ///< A longer answer counts as none.
+    base::Duration timeout = std::chrono::seconds(3); ///< For the whole exchange.
+    std::size_t bodyBytes = 2'000'000; ///< An answer with a longer body is treated as incomplete.
 };
 
-/// Reads `target` at `endpoint` over a connection of `pool`. A server that is silent would otherwise hold its reader
-/// for as long as the connection stands, so the exchange is cut at the timeout. Throws Error(PlatformUnreachable) where
-/// no whole answer came.
+/// Sends a GET request for `target` to `endpoint` over a connection of `pool`. The exchange is aborted at the timeout,
+/// since a server that does not answer would otherwise block the caller for as long as the connection is open. Throws
+/// Error(PlatformUnreachable) if no complete answer is received.
 Awaitable<GetResult> httpGet(
     asio::io_context &context, HttpPool &pool, Endpoint endpoint, std::string target, GetLimits limits);
 
--- a/src/include/papayastep/net/httpmessage.h
+++ b/src/include/papayastep/net/httpmessage.h
@@ -12,7 +12,7 @@
 using RequestHead = http::request_header<http::fields>;
 using ResponseHead = http::response_header<http::fields>;
 
-/// An answer with its whole body.
+/// An HTTP response with its complete body.
 ///
 /// Not an aggregate: GCC 12 destroys a braced aggregate twice when it is a temporary inside a co_await expression.
 struct WholeAnswer
@@ -26,28 +26,29 @@
 
     ResponseHead head;
     std::string body;
-    bool close = false; ///< Close the connection after it.
+    bool close = false; ///< Whether the connection is closed after this answer.
 };
 
-/// The same text as the standard's view: Boost 1.74 has a type of its own.
+/// Converts `text` to the string view of the standard library; Boost 1.74 has its own type.
 inline std::string_view view(beast::string_view text)
 {
     return {text.data(), text.size()};
 }
 
-/// Whether `name` belongs to one connection (RFC 9110, 7.6.1) and is never passed on.
+/// Whether the field `name` applies to one connection only (RFC 9110, 7.6.1) and is never forwarded.
 bool isHopByHop(std::string_view name);
 
-/// Whether `name` is one of ours (`Papayastep-...`): set by the system, never taken from a caller.
+/// Whether the field `name` is reserved (`Papayastep-...`): only the system sets it, and it is never taken from a
+/// caller.
 bool isReserved(std::string_view name);
 
-/// Copies all fields but the hop-by-hop and reserved ones and those that `Connection` names.
+/// Copies all fields except hop-by-hop fields, reserved fields and those named by a `Connection` field.
 void copyEndToEnd(const http::fields &from, http::fields &to);
 
-/// Strict checks that go beyond the parser. Returns Ok or the code to refuse the request with.
+/// Checks a request head more strictly than the parser does. Returns Ok or the code with which to refuse the request.
 base::ResultCode checkHead(const RequestHead &head);
 
-/// An answer of JSON text.
+/// Makes an answer whose body is the JSON text `body`.
 WholeAnswer jsonAnswer(http::status status, std::string body);
 
 }
--- a/src/include/papayastep/net/httpserver.h
+++ b/src/include/papayastep/net/httpserver.h
@@ -13,21 +13,21 @@
 
 namespace papayastep::net {
 
-/// What a server bounds, so that one caller can't take its memory, time or connections.
+/// Limits of a server, which prevent a single caller from using up its memory, time or connections.
 struct ServerLimits
 {
     std::size_t headerBytes = 16 * 1024;
     std::size_t bodyBytes = 1024 * 1024;
     std::size_t connections = 4096;
-    base::Duration headerTimeout = std::chrono::seconds(10); ///< For a header, once its first byte came.
+    base::Duration headerTimeout = std::chrono::seconds(10); ///< Time from the first byte of a header to its end.
     base::Duration bodyTimeout = std::chrono::seconds(20);
-    base::Duration idleTimeout = std::chrono::seconds(60); ///< Between requests of a connection.
-    base::Duration writeTimeout = std::chrono::seconds(30); ///< For a caller that does not read its answer.
+    base::Duration idleTimeout = std::chrono::seconds(60); ///< Maximum time between two requests of a connection.
+    base::Duration writeTimeout = std::chrono::seconds(30); ///< Per write, for callers that do not read their answer.
 
     auto operator<=>(const ServerLimits &) const = default;
 };
 
-/// One request on a connection, and the means to answer it. Lives until its handler returns.
+/// One request on a connection, with the operations to answer it. It is valid until its handler returns.
 class ServerExchange
 {
 public:
@@ -39,19 +39,20 @@
     /// Reads the whole body. Throws Error(RequestBodyTooLarge, RequestTooSlow or RequestMalformed).
     virtual Awaitable<std::string> readBody() = 0;
 
-    /// Sends an interim (1xx) answer: tells the client that the request arrived.
+    /// Sends an interim (1xx) answer, which tells the client that the request has arrived.
     virtual Awaitable<void> acknowledge() = 0;
 
-    /// Sends a whole answer. Returns false when the client is gone.
+    /// Sends a complete answer. Returns false if the client has disconnected.
     virtual Awaitable<bool> answer(WholeAnswer answer) = 0;
 
-    /// Sends the head of an answer whose body follows in parts. Returns false when the client is gone.
+    /// Sends the head of an answer whose body follows in parts. Returns false if the client has disconnected.
     virtual Awaitable<bool> beginStream(ResponseHead head) = 0;
     virtual Awaitable<bool> writePart(std::string part) = 0;
-    /// Ends a stream cleanly. A stream that is not finished is cut: the client sees a broken message.
+    /// Ends a stream cleanly. A stream that is not finished is cut off, so that the client receives an incomplete
+    /// message.
     virtual Awaitable<bool> finishStream() = 0;
 
-    /// Calls `gone` once if the client closes its connection before it was answered.
+    /// Calls `gone` once if the client closes its connection before it is answered.
     virtual void watchClient(std::function<void()> gone) = 0;
 };
 
@@ -62,31 +63,33 @@
     virtual ~RequestHandler() = default;
     virtual Awaitable<void> handle(ServerExchange &exchange) = 0;
 
-    /// The answer to a request that the server itself refuses (malformed, too large, too many connections).
+    /// Makes the answer to a request that the server itself refuses (malformed, too large, too many connections).
     virtual WholeAnswer refusal(base::ResultCode code, const std::string &detail) = 0;
 };
 
 class ServerConnection;
 using ConnectionSet = std::set<ServerConnection *>;
 
-/// An HTTP/1.1 server on one endpoint, strict about what it takes for a request.
+/// An HTTP/1.1 server on one endpoint that checks strictly what it accepts as a request.
 class HttpServer
 {
 public:
-    /// Listens at once. Throws Error(SettingsAddressInUse). A process out of file descriptors closes what connects.
+    /// Starts to listen. Throws Error(SettingsAddressInUse) if it can't. While the process has no free file descriptor,
+    /// new connections are closed.
     HttpServer(asio::io_context &context, const Endpoint &endpoint, ServerLimits limits, RequestHandler &handler);
     ~HttpServer();
 
-    /// Holds for requests that begin from now on.
+    /// Sets the limits of the requests that begin after this call.
     void setLimits(const ServerLimits &limits);
 
-    /// From now on each answer ends its connection, so that callers go elsewhere without a request being lost.
+    /// Closes each connection after its next answer, so that callers switch to another node without losing a request.
     void closeAfterAnswers();
 
-    /// Closes the listener and the idle connections; requests in flight go on, each with `Connection: close`.
+    /// Closes the listener and the idle connections. Requests in flight continue, and are answered with `Connection:
+    /// close`.
     void stop();
 
-    /// Requests being handled now.
+    /// Number of requests that are being handled.
     std::size_t inFlight() const;
     std::size_t connections() const;
     std::uint64_t refusedConnections() const;
@@ -98,7 +101,7 @@
     Awaitable<void> waitForConnection();
     bool acceptOrRefuse(tcp::socket &socket);
     Awaitable<void> pauseAfterFailure();
-    void noteRefusal(std::string_view cause);
+    void recordRefusal(std::string_view cause);
 
     asio::io_context &m_context;
     tcp::acceptor m_acceptor;
--- a/src/include/papayastep/net/peerendpoint.h
+++ b/src/include/papayastep/net/peerendpoint.h
@@ -14,8 +14,9 @@
 class PeerListener;
 class PeerSender;
 
-/// One-way messages between nodes: one listening socket per node, one connection per peer that we talk to. Sends never
-/// block; what a slow peer can't take is dropped, and the protocols above repair it.
+/// Sends and receives one-way messages between nodes, with one listening socket per node and one outgoing connection
+/// per peer. Sending never blocks: messages that a slow peer can't take are dropped, and the protocols above recover
+/// from the loss.
 class PeerEndpoint
 {
 public:
@@ -29,17 +30,18 @@
     };
     using Receiver = std::function<void(std::string bytes)>;
 
-    /// Listens at once; `receive` is called in the thread of `context`. Throws Error(SettingsAddressInUse).
+    /// Starts to listen; `receive` is called in the thread of `context`. Throws Error(SettingsAddressInUse) if it can't
+    /// listen.
     PeerEndpoint(asio::io_context &context, const base::Clock &clock, const Endpoint &listen, Receiver receive);
     ~PeerEndpoint();
 
     PeerEndpoint(const PeerEndpoint &) = delete;
     PeerEndpoint &operator=(const PeerEndpoint &) = delete;
 
-    /// Sends `bytes`, connecting first where needed. Returns false when the message was dropped.
+    /// Queues `bytes` for `peer` and connects to it if needed. Returns false if the message is dropped.
     bool send(const Endpoint &peer, const std::string &bytes);
 
-    /// Closes sockets to peers that got no message for a while.
+    /// Closes the connections to peers to which no message was sent for 120 seconds.
     void sweep();
 
     const Counters &counters() const;
--- a/src/include/papayastep/net/platformanswers.h
+++ b/src/include/papayastep/net/platformanswers.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-/// What the platform answers (docs/PLATFORM.md), and how it is read. Free of I/O, so that it can be fuzzed.
+/// The answers of the platform (docs/PLATFORM.md) and their parsers. They do no I/O, so that they can be fuzzed.
 namespace papayastep::net {
 
-/// One published file, as the platform's index names it.
+/// One published file, as listed in the index of the platform.
 struct PublishedFile
 {
     std::string name;
@@ -20,6 +20,7 @@
     auto operator<=>(const PublishedFile &) const = default;
 };
 
+/// The list of the files of a published configuration.
 struct PublishedIndex
 {
     base::Revision revision = 0;
@@ -28,7 +29,7 @@
     auto operator<=>(const PublishedIndex &) const = default;
 };
 
-/// Parses the platform's answers. Throw Error(PlatformAnswerInvalid).
+/// Parse the answers of the platform. Throw Error(PlatformAnswerInvalid) if an answer is not valid.
 PublishedIndex parsePublishedIndex(const std::string &json);
 config::VmList parseVmList(const std::string &json);
 
--- a/src/include/papayastep/net/platformclient.h
+++ b/src/include/papayastep/net/platformclient.h
@@ -13,20 +13,21 @@
 
 namespace papayastep::net {
 
-/// The platform, read only (docs/PLATFORM.md). Another platform is another subclass.
-/// Each call throws Error(PlatformUnreachable) or Error(PlatformAnswerInvalid).
+/// Read-only access to the platform (docs/PLATFORM.md). Each kind of platform has a subclass. Each call throws
+/// Error(PlatformUnreachable) or Error(PlatformAnswerInvalid) on failure.
 class PlatformClient
 {
 public:
     virtual ~PlatformClient() = default;
 
-    /// The published index; with `after`, waits up to `wait` for a greater revision and returns nothing without one.
+    /// Reads the published index. With `wait` above 0, waits up to that time for a revision greater than `after` and
+    /// returns nothing if there is none.
     virtual Awaitable<std::optional<PublishedIndex>> configuration(base::Revision after, std::chrono::seconds wait) = 0;
     virtual Awaitable<std::string> file(const PublishedFile &file) = 0;
     virtual Awaitable<std::optional<config::VmList>> vms(std::uint64_t after, std::chrono::seconds wait) = 0;
 };
 
-/// The platform over HTTP. Tries its endpoints in turn.
+/// Access to the platform over HTTP. Uses the endpoints of the platform in turn: a failed call moves to the next one.
 class HttpPlatformClient final : public PlatformClient
 {
 public:
--- a/src/include/papayastep/net/rawheader.h
+++ b/src/include/papayastep/net/rawheader.h
@@ -4,11 +4,11 @@
 
 #include <string_view>
 
-/// The check of header bytes before they are parsed. Free of I/O, so that it can be fuzzed.
+/// A check of header bytes before they are parsed. It does no I/O, so that it can be fuzzed.
 namespace papayastep::net {
 
-/// Returns Ok or the code to refuse the request with.
-/// `block` is the raw header block up to and including the empty line.
+/// Returns Ok or the code with which to refuse the request. `block` is the raw header up to and including the empty
+/// line.
 base::ResultCode checkRawHeader(std::string_view block);
 
 }
--- a/src/include/papayastep/net/sparedescriptor.h
+++ b/src/include/papayastep/net/sparedescriptor.h
@@ -4,8 +4,8 @@
 
 namespace papayastep::net {
 
-/// A file descriptor that is kept back. Given up, it lets a process that has none left take a connection off the queue
-/// and close it; without it the caller waits there until its own timeout.
+/// A file descriptor that is kept in reserve. A process that has no descriptor left can release it in order to accept a
+/// waiting connection and close it; otherwise the caller would wait in the listen queue until its own timeout.
 class SpareDescriptor
 {
 public:
@@ -15,14 +15,15 @@
     SpareDescriptor &operator=(const SpareDescriptor &) = delete;
 
     void release();
-    /// Returns whether there is a spare one again.
+    /// Opens the spare descriptor again if it was released. Returns whether it is open.
     bool reacquire();
 
 private:
     int m_descriptor = -1;
 };
 
-/// How many connections may be open such that they take up at most `share` of this process's file descriptors.
+/// Returns how many of `wanted` connections may be open so that they use at most `share` (0 to 1) of the file
+/// descriptors that this process may open. At least 1 is returned.
 std::size_t connectionsWithin(double share, std::size_t wanted);
 
 }
--- a/src/include/papayastep/net/task.h
+++ b/src/include/papayastep/net/task.h
@@ -6,11 +6,12 @@
 #include <exception>
 #include <functional>
 
-/// Work that nobody waits for. An exception that leaves it reaches no caller: out of a handler it ends the whole
-/// process with the requests of all its callers, and out of a detached coroutine it ends that coroutine without a word.
+/// Tasks whose result nobody awaits. An exception that leaves such a task reaches no caller: from a handler it ends the
+/// whole process with the requests of all its callers, and from a detached coroutine it ends that coroutine without any
+/// report.
 namespace papayastep::net {
 
-/// Logs and counts the exceptions that left a task or a handler of one loop.
+/// Logs and counts the exceptions that leave the tasks and handlers of one event loop.
 class TaskFaults final : public asio::execution_context::service
 {
 public:
@@ -28,15 +29,16 @@
     std::uint64_t m_count = 0;
 };
 
-/// The faults of the tasks of `context`.
+/// Returns the counter of the exceptions that left tasks and handlers of `context`.
 TaskFaults &taskFaults(asio::io_context &context);
 
-/// Runs handlers until the context is stopped or has no work left. A handler that throws ends neither the loop nor the
-/// others: what it held is released by the unwinding, and what it left undone is bounded by the deadlines of requests
-/// and repaired by the next tick, message or watch.
+/// Runs handlers until the context is stopped or has no work left. A handler that throws ends neither the loop nor
+/// other handlers: stack unwinding releases its resources, the deadlines of requests limit the effect of its unfinished
+/// work, and the next tick, message or watch completes that work.
 void runLoop(asio::io_context &context);
 
-/// Runs `body` beside its caller; it ends by itself. `task` names it in the log and must outlive it.
+/// Runs the coroutine `body` concurrently with the caller until it returns. `task` is its name in the log and must
+/// outlive it.
 template<typename Body>
 void spawnTask(asio::io_context &context, const char *task, Body body)
 {
@@ -47,11 +49,12 @@
     });
 }
 
-/// Runs an endless `body` beside its caller, and anew after a pause each time it throws. So it must keep its state
-/// elsewhere. A body that returns is done.
+/// Runs the coroutine `body` concurrently with the caller and restarts it after a pause each time that it throws, so it
+/// must keep its state elsewhere. A coroutine that returns is not restarted.
 void spawnRestartingTask(asio::io_context &context, const char *task, std::function<Awaitable<void>()> body);
 
-/// Runs one of several steps that must not keep each other from running.
+/// Runs one of several steps. An exception is logged and counted, so that it does not prevent the other steps from
+/// running.
 template<typename Step>
 void runStep(asio::io_context &context, const char *task, const Step &step) noexcept
 {
--- a/src/net/callstatistics.cpp
+++ b/src/net/callstatistics.cpp
@@ -2,12 +2,12 @@
 
 namespace papayastep::net {
 
-void CallStatistics::record(std::string_view call, base::ResultCode answer, base::Duration took)
+void CallStatistics::record(std::string_view call, base::ResultCode answer, base::Duration duration)
 {
     const bool good = answer == base::ResultCode::Ok;
     CallTotal &total = m_totals[{std::string(call), good ? "ok" : std::to_string(number(answer))}];
     ++total.calls;
-    total.totalDuration += took;
+    total.totalDuration += duration;
 }
 
 const std::map<CallKind, CallTotal> &CallStatistics::totals() const
--- a/src/net/deadpeer.cpp
+++ b/src/net/deadpeer.cpp
@@ -11,7 +11,7 @@
 
 void setOption(tcp::socket &socket, int level, int name, int value)
 {
-    // Fails only where the system lacks the option; the timeouts of requests remain then.
+    // Fails only if the system lacks the option; the timeouts of requests still apply then.
     ::setsockopt(socket.native_handle(), level, name, &value, sizeof(value));
 }
 
@@ -20,8 +20,8 @@
 void enableKeepAlive(tcp::socket &socket, base::Duration timeout)
 {
     constexpr int probes = 2;
-    const auto whole = std::chrono::duration_cast<std::chrono::seconds>(timeout / probes).count();
-    const int seconds = std::max(1, static_cast<int>(whole));
+    const auto probeInterval = std::chrono::duration_cast<std::chrono::seconds>(timeout / probes).count();
+    const int seconds = std::max(1, static_cast<int>(probeInterval));
     setOption(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
     setOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, seconds);
     setOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, seconds);
--- a/src/net/deadpeer.h
+++ b/src/net/deadpeer.h
@@ -3,13 +3,13 @@
 #include "papayastep/base/clock.h"
 #include "papayastep/net/asio.h"
 
-/// How the system notices that the other end of a connection went away without a word.
+/// Socket options by which the operating system detects that the peer of a connection disappeared without closing it.
 namespace papayastep::net {
 
-/// Probes an idle connection, so that it breaks after about `timeout`.
+/// Enables TCP keep-alive probes, so that an idle connection to a dead peer breaks after about `timeout`.
 void enableKeepAlive(tcp::socket &socket, base::Duration timeout);
 
-/// Bounds how long sent bytes may stay unacknowledged.
+/// Sets the TCP user timeout: the time for which sent bytes may stay unacknowledged before the connection breaks.
 void setUserTimeout(tcp::socket &socket, base::Duration timeout);
 
 }
--- a/src/net/endpoint.cpp
+++ b/src/net/endpoint.cpp
@@ -10,7 +10,7 @@
 
 [[noreturn]] void refuse(const std::string &text)
 {
-    throw base::Error(base::ResultCode::SettingsSchema, "'" + text + "' is not an IP number with a port");
+    throw base::Error(base::ResultCode::SettingsSchema, "'" + text + "' is not an IP address with a port");
 }
 
 std::uint16_t parsePort(const std::string &digits, const std::string &text)
@@ -52,7 +52,7 @@
 {
     beast::error_code error;
     const auto address = asio::ip::make_address(endpoint.address, error);
-    // The parser stops at a NUL; what stands behind it would go along into logs.
+    // The parser stops at a NUL byte, and the text after it would appear in logs.
     if (error || endpoint.address.find('\0') != std::string::npos) {
         refuse(endpoint.address);
     }
--- a/src/net/endpoint_test.cpp
+++ b/src/net/endpoint_test.cpp
@@ -6,7 +6,7 @@
 using namespace papayastep;
 using namespace papayastep::net;
 
-BOOST_AUTO_TEST_CASE(endpoint_parsedAndPrinted_isTheSame)
+BOOST_AUTO_TEST_CASE(endpoint_parsedAndFormatted_isUnchanged)
 {
     for (const std::string text : {"127.0.0.1:80", "[::1]:65535", "0.0.0.0:0"}) {
         BOOST_TEST(toString(parseEndpoint(text)) == text);
@@ -14,8 +14,8 @@
     BOOST_TEST((parseEndpoint("[::1]:7") == Endpoint{"::1", 7}));
 }
 
-// An operator mistypes an address. A node that guessed would listen elsewhere, or call the wrong VM.
-BOOST_AUTO_TEST_CASE(endpoint_thatIsNoIpNumberWithPort_isRefused)
+// Guards against a node that listens on a wrong address or calls a wrong VM because a mistyped address was accepted.
+BOOST_AUTO_TEST_CASE(endpoint_notAnIpAddressWithPort_isRefused)
 {
     using namespace std::string_literals;
     for (const std::string &text : {""s,
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -1,6 +1,6 @@
 #include "deadpeer.h"
-#include "papayastep/net/httpclient.h"
 
+#include "papayastep/net/httpclient.h"
 #include "papayastep/net/task.h"
 
 #include <algorithm>
@@ -15,19 +15,20 @@
 
 constexpr std::size_t partBytes = 32 * 1024;
 
-/// Beast counts the bytes of a field in 16 bits and throws at a longer one, out of its read operations past every
-/// handler: a server that sends one behind its answer would end the node. What does not fit here is an error instead.
-constexpr std::size_t largestRead = 60 * 1024;
+/// Size of the read buffer. Beast counts the bytes of a field in 16 bits and throws for a longer field, and the
+/// exception leaves its read operations without reaching any handler: a server that sends such a field after its answer
+/// would end the node. With this limit, a field that does not fit into the buffer is an error instead.
+constexpr std::size_t readBufferBytes = 60 * 1024;
 
-bool isOpenAndQuiet(tcp::socket &socket)
+bool isOpenAndIdle(tcp::socket &socket)
 {
     char byte = 0;
     const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    // Bytes that nobody asked for, or an end: either way this connection can't carry another request.
+    // The server has sent unexpected bytes or closed the connection, so it can't carry another request.
     return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-/// The seconds of `timeout=` in a Keep-Alive field, if it has any.
+/// The value of the `timeout=` parameter of a Keep-Alive field, if it has one.
 std::optional<base::Duration> keepAliveTimeout(const ResponseHead &head)
 {
     constexpr std::string_view name = "timeout=";
@@ -43,13 +44,13 @@
 
 }
 
-/// An open connection and what was read from it beyond the last answer.
+/// An open connection and the bytes that were read from it after the end of the last answer.
 class ClientConnection
 {
 public:
     explicit ClientConnection(asio::io_context &context)
         : m_stream(context)
-        , m_buffer(largestRead)
+        , m_buffer(readBufferBytes)
     {
     }
 
@@ -67,7 +68,7 @@
     beast::flat_buffer m_buffer;
 };
 
-/// A request on its way out. Shared, since its coroutine may outlive the exchange.
+/// A request that is being sent. It is shared, since the coroutine that sends it may outlive the exchange.
 struct HttpExchange::Sending
 {
     std::shared_ptr<ClientConnection> connection;
@@ -86,7 +87,7 @@
 HttpExchange::~HttpExchange()
 {
     if (m_connection) {
-        m_connection->stream().close(); // What is still being sent would hold it open.
+        m_connection->stream().close(); // A send in progress would otherwise keep it open.
     }
 }
 
@@ -100,7 +101,7 @@
     m_accept = std::move(accept);
 }
 
-Awaitable<void> HttpExchange::run(ClientRequest request, std::size_t holdBytes)
+Awaitable<void> HttpExchange::run(ClientRequest request, std::size_t bufferBytes)
 {
     const bool isHead = request.head.method() == http::verb::head;
     bool reused = false;
@@ -111,7 +112,7 @@
     if (!co_await readHead(isHead)) {
         co_return;
     }
-    co_await readHeldBody(holdBytes);
+    co_await readBufferedBody(bufferBytes);
 }
 
 void HttpExchange::cancel()
@@ -155,7 +156,7 @@
     co_return part;
 }
 
-/// The next bytes of the body that the parser is in.
+/// Reads the next bytes of the body that is being parsed.
 Awaitable<std::string> HttpExchange::readBytes()
 {
     std::string part;
@@ -204,8 +205,9 @@
     co_return true;
 }
 
-/// Sends beside the reading: a server may answer before it has read a long body, and stop reading. Whoever writes first
-/// and reads later would then wait for a window that never opens, while the answer lies ready.
+/// Sends the request while the answer is read: a server may answer before it has read a long body, and stop reading. A
+/// client that writes first and reads afterwards would then wait for a TCP window that never opens although the answer
+/// is available.
 void HttpExchange::beginSending(ClientRequest request)
 {
     m_progress = ExchangeProgress::Sending;
@@ -230,19 +232,20 @@
 
 Awaitable<bool> HttpExchange::readHead(bool isHead)
 {
-    // Named results: GCC 12 runs into a trap where a loop has a co_await in a condition and a break.
+    // The results are named variables: GCC 12 generates a trap instruction for a loop with a co_await in a condition
+    // and a break.
     bool accepted = false;
     while (!accepted) {
-        const bool came = co_await readAnyHead(isHead);
-        if (!came) {
+        const bool received = co_await readAnyHead(isHead);
+        if (!received) {
             co_return false;
         }
         accepted = !m_accept || m_accept(m_parser->get().base());
-        bool goOn = accepted;
+        bool continues = accepted;
         if (!accepted) {
-            goOn = co_await dropBody();
+            continues = co_await discardBody();
         }
-        if (!goOn) {
+        if (!continues) {
             co_return false;
         }
     }
@@ -251,7 +254,7 @@
     co_return true;
 }
 
-/// Reads until the head of a final answer is there.
+/// Reads until the head of a final answer has been received.
 Awaitable<bool> HttpExchange::readAnyHead(bool isHead)
 {
     for (;;) {
@@ -274,8 +277,8 @@
     }
 }
 
-/// Reads the body of an answer that is not ours.
-Awaitable<bool> HttpExchange::dropBody()
+/// Reads and discards the body of an answer to another request.
+Awaitable<bool> HttpExchange::discardBody()
 {
     m_foreignAnswer = true;
     while (m_failure == ExchangeFailure::None && !m_parser->is_done()) {
@@ -284,13 +287,13 @@
     co_return m_failure == ExchangeFailure::None;
 }
 
-Awaitable<void> HttpExchange::readHeldBody(std::size_t holdBytes)
+Awaitable<void> HttpExchange::readBufferedBody(std::size_t bufferBytes)
 {
     if (m_parser->is_done()) {
         finish();
         co_return;
     }
-    while (m_progress == ExchangeProgress::HeadReceived && m_body.size() < holdBytes) {
+    while (m_progress == ExchangeProgress::HeadReceived && m_body.size() < bufferBytes) {
         const std::string part = co_await readPart();
         m_body += part;
         if (m_failure != ExchangeFailure::None) {
@@ -318,8 +321,8 @@
     }
 }
 
-/// Only a connection that is provably clean carries another request: the answer was whole and ours, the request was
-/// read to its end, and nothing else was answered on it before.
+/// A connection is reused only if it is in a known clean state: the answer was complete and belonged to this request,
+/// the request was sent to its end, and no answer to another request arrived on the connection.
 bool HttpExchange::mayReuse() const
 {
     return m_parser->keep_alive() && !m_cancelled && !m_foreignAnswer && m_sending->finished && !m_sending->failed;
@@ -353,9 +356,9 @@
         if (isOld) {
             continue;
         }
-        // A server that closed an idle connection would break the next request on it: and a broken non-idempotent
-        // request can't be sent again. Asking the socket first leaves only the instant between asking and sending.
-        if (isOpenAndQuiet(connection->stream().socket())) {
+        // If the server has closed an idle connection, the next request on it breaks, and a non-idempotent request
+        // can't be sent again. Checking the socket first leaves only the short time between the check and the send.
+        if (isOpenAndIdle(connection->stream().socket())) {
             return connection;
         }
     }
@@ -366,8 +369,9 @@
                    std::shared_ptr<ClientConnection> connection,
                    std::optional<base::Duration> idleTimeout)
 {
-    // Given up well before the server does so: a request that meets the server's close is lost. A server that closes
-    // at once has nothing left.
+    // The connection is closed well before the server closes it, since a request that is sent while the server closes
+    // the connection is lost. If the server announces an idle timeout of 0, it closes the connection at once, so the
+    // connection is not kept.
     const base::Duration idle = idleTimeout ? std::min(m_limits.idleTimeout, *idleTimeout / 2) : m_limits.idleTimeout;
     auto &connections = m_idle[endpoint];
     const bool fits = connections.size() < m_limits.idlePerEndpoint && connection->buffer().size() == 0;
--- a/src/net/httpclient_test.cpp
+++ b/src/net/httpclient_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// An exchange with a server that answers it with bytes of the test.
+/// An exchange with a server that answers with the bytes that a test gives.
 struct ExchangeFixture
 {
     ExchangeFixture()
@@ -18,15 +18,15 @@
         request.head.method(net::http::verb::get);
         request.head.target("/");
         net::spawnTask(context, "exchange", [this, request]() -> net::Awaitable<void> {
-            constexpr std::size_t holdBytes = 1024;
-            co_await exchange.run(request, holdBytes);
+            constexpr std::size_t bufferBytes = 1024;
+            co_await exchange.run(request, bufferBytes);
             ended = true;
         });
         context.poll();
         server = acceptor.accept();
     }
 
-    /// Sends in parts that fit into the buffers of the connection, and lets the exchange take in each.
+    /// Sends `bytes` in parts that fit into the buffers of the connection, and lets the exchange read each part.
     void answer(std::string_view bytes)
     {
         constexpr std::size_t partBytes = 4096;
@@ -49,9 +49,9 @@
 
 }
 
-// A sick backend server sends endless fields behind its answer. Beast can't count so long a field and throws: the node
-// beside that server ended, and with it the requests of all its callers.
-BOOST_FIXTURE_TEST_CASE(exchange_trailerLongerThanTheLibraryHolds_fails, ExchangeFixture)
+// A faulty backend server sends a trailer field after its answer that is longer than Beast can count, and Beast throws.
+// Guards against an exception that ends the node, and with it the requests of all its callers.
+BOOST_FIXTURE_TEST_CASE(exchange_trailerLongerThanTheLibrarySupports_fails, ExchangeFixture)
 {
     answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nLong: " + std::string(70'000, 'x') + "\r\n\r\n");
     BOOST_TEST(ended);
--- a/src/net/httpget.cpp
+++ b/src/net/httpget.cpp
@@ -14,9 +14,9 @@
     request.head.set(http::field::host, toString(endpoint));
     asio::steady_timer timer(context, limits.timeout);
     timer.async_wait([weak = std::weak_ptr<HttpExchange>(exchange)](const beast::error_code &error) {
-        const auto late = weak.lock();
-        if (!error && late) {
-            late->cancel();
+        const auto overdue = weak.lock();
+        if (!error && overdue) {
+            overdue->cancel();
         }
     });
     co_await exchange->run(std::move(request), limits.bodyBytes);
--- a/src/net/httpmessage.cpp
+++ b/src/net/httpmessage.cpp
@@ -35,7 +35,7 @@
 
 namespace {
 
-/// Whether any Connection field names `name`. A caller may send several, and all count.
+/// Whether any Connection field names `name`. A caller may send several Connection fields, and all of them apply.
 bool isNamedByConnection(const http::fields &fields, beast::string_view name)
 {
     const auto range = fields.equal_range(http::field::connection);
@@ -63,11 +63,11 @@
     if (lengths > 1 || encodings > 1 || (lengths > 0 && encodings > 0)) {
         return base::ResultCode::RequestAmbiguousLength;
     }
-    // A list of lengths, even of equal ones, is read differently by different servers.
+    // Servers interpret a list of lengths differently, even if the lengths are equal.
     const auto length = head[http::field::content_length];
-    const bool noNumber
+    const bool isNotNumber
         = length.empty() || !std::all_of(length.begin(), length.end(), [](char c) { return c >= '0' && c <= '9'; });
-    if (lengths == 1 && noNumber) {
+    if (lengths == 1 && isNotNumber) {
         return base::ResultCode::RequestAmbiguousLength;
     }
     if (encodings == 1 && !beast::iequals(head[http::field::transfer_encoding], "chunked")) {
--- a/src/net/httpmessage_test.cpp
+++ b/src/net/httpmessage_test.cpp
@@ -23,7 +23,7 @@
 
 struct FieldsFixture
 {
-    bool passes(const std::string &name)
+    bool isForwarded(const std::string &name)
     {
         to.clear();
         copyEndToEnd(from, to);
@@ -36,7 +36,7 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(fields_ofOneConnection_areNotPassedOn, FieldsFixture)
+BOOST_FIXTURE_TEST_CASE(fields_hopByHop_areNotForwarded, FieldsFixture)
 {
     for (const std::string name : {"Connection",
                                    "keep-alive",
@@ -48,43 +48,45 @@
                                    "Transfer-Encoding",
                                    "UPGRADE"}) {
         from.set(name, "x");
-        BOOST_TEST(!passes(name));
+        BOOST_TEST(!isForwarded(name));
     }
     from.set("X-Shop", "7");
-    BOOST_TEST(passes("X-Shop"));
+    BOOST_TEST(isForwarded("X-Shop"));
 }
 
-// A caller sets a header of the system. A backend server would believe that a node set it.
-BOOST_FIXTURE_TEST_CASE(fields_reservedForTheSystem_areNotPassedOn, FieldsFixture)
+// Guards against a caller that sets a reserved field, which a backend server would take for one set by a node.
+BOOST_FIXTURE_TEST_CASE(fields_reservedForTheSystem_areNotForwarded, FieldsFixture)
 {
     from.set("pApAyAsTeP-Hop", "x");
     from.set("Papayastep-", "x");
     from.set("Papayaste", "x");
-    BOOST_TEST(!passes("Papayastep-Hop"));
-    BOOST_TEST(!passes("Papayastep-"));
-    BOOST_TEST(passes("Papayaste"));
+    BOOST_TEST(!isForwarded("Papayastep-Hop"));
+    BOOST_TEST(!isForwarded("Papayastep-"));
+    BOOST_TEST(isForwarded("Papayaste"));
 }
 
-// A caller sends two Connection headers. Read only the first, and a field of the connection reaches the backend server.
-BOOST_FIXTURE_TEST_CASE(fields_namedByAnyConnectionField_areNotPassedOn, FieldsFixture)
+// A caller sends two Connection fields. If only the first one were read, a hop-by-hop field would reach the backend
+// server.
+BOOST_FIXTURE_TEST_CASE(fields_namedByAnyConnectionField_areNotForwarded, FieldsFixture)
 {
     from.insert(http::field::connection, "close, X-First");
     from.insert(http::field::connection, "x-second");
     from.set("X-First", "1");
     from.set("X-Second", "2");
     from.set("X-Third", "3");
-    BOOST_TEST(!passes("X-First"));
-    BOOST_TEST(!passes("X-Second"));
-    BOOST_TEST(passes("X-Third"));
+    BOOST_TEST(!isForwarded("X-First"));
+    BOOST_TEST(!isForwarded("X-Second"));
+    BOOST_TEST(isForwarded("X-Third"));
 }
 
-BOOST_AUTO_TEST_CASE(rawHeader_withStrictLineEnds_isTaken)
+BOOST_AUTO_TEST_CASE(rawHeader_withStrictLineEnds_isAccepted)
 {
     BOOST_TEST((checkRawHeader("GET / HTTP/1.1\r\nHost: a\r\n\r\n") == ResultCode::Ok));
 }
 
-// Two servers disagree where a line ends. A caller could smuggle a second request past the key check.
-BOOST_AUTO_TEST_CASE(rawHeader_withDoubtfulLineEnds_isRefused)
+// Two servers find different line ends in one header. Guards against a caller that smuggles a second request past the
+// key check.
+BOOST_AUTO_TEST_CASE(rawHeader_withAmbiguousLineEnds_isRefused)
 {
     using namespace std::string_view_literals;
     for (const std::string_view block : {"GET / HTTP/1.1\nHost: a\r\n\r\n"sv,
@@ -98,14 +100,15 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(head_withOneLength_isTaken, HeadFixture)
+BOOST_FIXTURE_TEST_CASE(head_withOneLength_isAccepted, HeadFixture)
 {
     BOOST_TEST((checkHead(head) == ResultCode::Ok));
     head.set(http::field::content_length, "12");
     BOOST_TEST((checkHead(head) == ResultCode::Ok));
 }
 
-// The node and a backend server find different ends of one body, and the rest is read as another caller's request.
+// Guards against a body whose end the node and a backend server find in different places, so that the rest is read as
+// the request of another caller.
 BOOST_FIXTURE_TEST_CASE(head_withAmbiguousLength_isRefused, HeadFixture)
 {
     for (const std::string length : {"", "1, 1", "1,2", "+1", "-1", "0x1", "1 2", "one"}) {
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -49,7 +49,7 @@
 
 }
 
-/// One connection: reads request after request and hands each to the handler.
+/// One connection, which reads one request after the other and passes each to the handler.
 class ServerConnection final : public ServerExchange, public std::enable_shared_from_this<ServerConnection>
 {
 public:
@@ -75,8 +75,8 @@
         beast::error_code error;
         m_stream.socket().set_option(tcp::no_delay(true), error);
         while (!m_closing) {
-            const bool begun = co_await waitForBytes();
-            if (!begun) {
+            const bool hasBytes = co_await waitForBytes();
+            if (!hasBytes) {
                 break;
             }
             ++m_server.m_inFlight;
@@ -87,7 +87,7 @@
                     co_await handleRequest();
                 }
             } catch (...) {
-                // A request that stayed counted would keep a planned stop waiting until its time is over.
+                // A request that remained counted would delay a planned stop until the stop times out.
                 taskFaults(m_server.m_context).record("request", std::current_exception());
                 whole = false;
             }
@@ -96,12 +96,12 @@
                 m_closing = true;
             }
         }
-        closeGently();
+        shutDownAndClose();
     }
 
-    /// Ends the wait for the next request. Where its first bytes have been read already, though nobody has looked at
-    /// them yet, the wait ends with them and the request is answered: closing here instead would drop a request that
-    /// was taken in, which its caller can't send again.
+    /// Ends the wait for the next request. If its first bytes have been read but not yet processed, the wait ends with
+    /// them and the request is answered: closing the connection here would drop a request that has been received, which
+    /// its caller can't send again.
     void closeIfIdle()
     {
         if (m_waiting) {
@@ -148,7 +148,7 @@
     {
         http::response<http::string_body> response(std::move(answer.head), std::move(answer.body));
         prepareHead(response.base(), answer.close);
-        // The answer to a HEAD keeps the length that a GET would have brought.
+        // The answer to a HEAD request keeps the length that the answer to a GET request would have.
         if (mayHaveBody(response.result()) && head().method() != http::verb::head) {
             response.content_length(response.body().size());
         }
@@ -163,7 +163,7 @@
             co_await http::async_write(m_stream, response, into(error));
         }
         m_stream.expires_never();
-        noteWriteError(error);
+        closeOnWriteError(error);
         co_return !error;
     }
 
@@ -182,7 +182,7 @@
         m_stream.expires_after(m_server.m_limits.writeTimeout);
         co_await http::async_write_header(m_stream, *m_serializer, into(error));
         m_stream.expires_never();
-        noteWriteError(error);
+        closeOnWriteError(error);
         co_return !error;
     }
 
@@ -212,7 +212,7 @@
 private:
     static constexpr std::size_t readAhead = 64 * 1024;
 
-    /// Waits for the first bytes of a request. False: the connection ends instead.
+    /// Waits for the first bytes of a request. Returns false if the connection ends instead.
     Awaitable<bool> waitForBytes()
     {
         if (m_buffer.size() > 0) {
@@ -225,7 +225,8 @@
         m_waiting = false;
         beast::error_code ignored;
         if (error == asio::error::operation_aborted && m_stream.socket().available(ignored) > 0) {
-            // They came just before the stop; to close now would leave their sender in doubt.
+            // The bytes arrived just before the stop. If the connection were closed now, their sender could not tell
+            // whether the request has run.
             got = co_await m_stream.async_read_some(m_buffer.prepare(readAhead / 8), into(error));
         }
         m_buffer.commit(got);
@@ -236,7 +237,8 @@
     {
         m_parser.emplace();
         m_parser->header_limit(static_cast<std::uint32_t>(m_server.m_limits.headerBytes));
-        // The limit may have grown since the connection was opened; a buffer that stays behind throws when it is full.
+        // The limit may have been raised since the connection was opened, and a buffer with the old limit would throw
+        // when full.
         m_buffer.max_size(std::max(m_buffer.max_size(), m_server.m_limits.headerBytes + readAhead));
         m_parser->body_limit(m_server.m_limits.bodyBytes);
         m_answered = false;
@@ -255,17 +257,18 @@
         m_stream.expires_never();
         base::ResultCode code = error ? codeOfParserError(error) : checkHead(m_parser->get().base());
         if (code != base::ResultCode::Ok) {
-            // A named value: GCC 12 destroys the temporary of a ?: inside a co_await expression twice.
-            const std::string detail = error ? error.message() : "the header is not acceptable";
+            // The value is a named variable, since GCC 12 destroys the temporary of a ?: inside a co_await expression
+            // twice.
+            const std::string detail = error ? error.message() : "the header fields are not valid";
             co_await refuse(code, detail);
             co_return false;
         }
         co_return true;
     }
 
-    /// Parses what was read, or reads more where that is not enough. A field longer than Beast can count, in a header
-    /// or behind a chunked body, makes it throw. Out of its own read operations that would leave the loop and end the
-    /// requests of all callers; here it becomes an error of this request.
+    /// Parses the bytes that have been read, and reads more if they are not enough. Beast throws for a field that is
+    /// longer than it can count, in a header or after a chunked body. From its own read operations the exception would
+    /// leave the event loop and end the requests of all callers; here it becomes an error of this request.
     Awaitable<beast::error_code> parseMore()
     {
         beast::error_code error;
@@ -278,8 +281,8 @@
             error = http::error::header_limit;
         }
         m_buffer.consume(used);
-        const bool stuck = !error && used == 0;
-        if (!stuck && error != http::error::need_more) {
+        const bool madeNoProgress = !error && used == 0;
+        if (!madeNoProgress && error != http::error::need_more) {
             co_return error;
         }
         error = co_await readMore();
@@ -289,10 +292,10 @@
     Awaitable<beast::error_code> readMore()
     {
         beast::error_code error = http::error::buffer_overflow;
-        const std::size_t room = m_buffer.max_size() - m_buffer.size();
-        if (room > 0) {
+        const std::size_t freeBytes = m_buffer.max_size() - m_buffer.size();
+        if (freeBytes > 0) {
             const auto got
-                = co_await m_stream.async_read_some(m_buffer.prepare(std::min(room, readAhead)), into(error));
+                = co_await m_stream.async_read_some(m_buffer.prepare(std::min(freeBytes, readAhead)), into(error));
             m_buffer.commit(got);
         }
         co_return error;
@@ -305,12 +308,12 @@
             const std::string_view bytes(static_cast<const char *>(data.data()), data.size());
             const auto end = bytes.find("\r\n\r\n");
             const auto block = bytes.substr(0, end == std::string_view::npos ? end : end + 4);
-            // An unfinished block may end between CR and LF, or just before the byte that folds a line.
+            // An incomplete block may end between CR and LF, or just before the byte that folds a line.
             const auto checked = end == std::string_view::npos && !block.empty() && block.back() == '\r'
                 ? block.substr(0, block.size() - 1)
                 : block;
             if (checkRawHeader(checked) != base::ResultCode::Ok) {
-                const std::string detail = "a bare line end, folded line or NUL";
+                const std::string detail = "the header contains a bare line end, a folded line or a NUL byte";
                 co_await refuse(base::ResultCode::RequestMalformed, detail);
                 co_return false;
             }
@@ -318,7 +321,7 @@
                 co_return true;
             }
             if (bytes.size() > m_server.m_limits.headerBytes) {
-                const std::string detail = "the header is over the limit";
+                const std::string detail = "the header is larger than the limit";
                 co_await refuse(base::ResultCode::RequestHeaderTooLarge, detail);
                 co_return false;
             }
@@ -327,7 +330,7 @@
             m_buffer.commit(got);
             if (error) {
                 if (error == beast::error::timeout) {
-                    const std::string detail = "the header did not come in time";
+                    const std::string detail = "the header was not received in time";
                     co_await refuse(base::ResultCode::RequestTooSlow, detail);
                 }
                 co_return false;
@@ -350,11 +353,13 @@
         try {
             co_await m_server.m_handler.handle(*this);
         } catch (const std::exception &error) {
-            PAPAYASTEP_LOG(ERROR, logPrefix) << "A handler failed." << base::field("what", error.what());
+            PAPAYASTEP_LOG(ERROR, logPrefix)
+                << "A request handler threw an exception." << base::field("what", error.what());
             m_closing = true;
         }
         if (!m_answered || !m_streamFinished || !m_parser->is_done()) {
-            // A body that was not read would be taken for the next request; a stream that broke off must look so.
+            // A body that was not read would be parsed as the next request, and the client must detect an incomplete
+            // stream.
             m_closing = true;
         }
         if (m_parser->get().version() == 10 || !m_parser->get().keep_alive()) {
@@ -372,7 +377,7 @@
         m_stream.expires_after(m_server.m_limits.writeTimeout);
         co_await asio::async_write(m_stream, asio::buffer(text.data(), text.size()), into(error));
         m_stream.expires_never();
-        noteWriteError(error);
+        closeOnWriteError(error);
     }
 
     Awaitable<bool> writeStreamBuffer(std::string part, bool more)
@@ -388,7 +393,7 @@
         if (error == http::error::need_buffer) {
             error = {};
         }
-        noteWriteError(error);
+        closeOnWriteError(error);
         co_return !error;
     }
 
@@ -407,14 +412,14 @@
         return number >= 200 && status != http::status::no_content && status != http::status::not_modified;
     }
 
-    void noteWriteError(const beast::error_code &error)
+    void closeOnWriteError(const beast::error_code &error)
     {
         if (error) {
             m_closing = true;
         }
     }
 
-    void closeGently()
+    void shutDownAndClose()
     {
         beast::error_code ignored;
         if (m_streamFinished) {
@@ -430,8 +435,8 @@
     std::unique_ptr<http::response<http::buffer_body>> m_streamed;
     std::unique_ptr<http::response_serializer<http::buffer_body>> m_serializer;
     std::string m_remoteAddress;
-    std::shared_ptr<ConnectionSet> m_registry; ///< Shared: a connection may outlive its server at shutdown.
-    bool m_waiting = false; ///< For the first bytes of a request.
+    std::shared_ptr<ConnectionSet> m_registry; ///< Shared, since a connection may outlive its server at shutdown.
+    bool m_waiting = false; ///< Whether it waits for the first bytes of a request.
     bool m_closing = false;
     bool m_answered = false;
     bool m_bodyRead = false;
@@ -511,8 +516,8 @@
         }
         if (isOutOfDescriptors(error)) {
             co_await waitForConnection();
-            const bool taken = !m_stopping && acceptOrRefuse(socket);
-            if (!taken) {
+            const bool isAccepted = !m_stopping && acceptOrRefuse(socket);
+            if (!isAccepted) {
                 continue;
             }
         } else if (error) {
@@ -520,7 +525,7 @@
             continue;
         }
         if (m_connections->size() >= m_limits.connections) {
-            noteRefusal("limit");
+            recordRefusal("limit");
             continue;
         }
         auto connection = std::make_shared<ServerConnection>(*this, std::move(socket));
@@ -528,7 +533,7 @@
     }
 }
 
-/// accept() fails without a free descriptor even when nobody waits, so to call it again at once would spin.
+/// Without a free descriptor, accept() fails even if no connection is waiting, so calling it again at once would spin.
 Awaitable<void> HttpServer::waitForConnection()
 {
     beast::error_code error;
@@ -539,9 +544,9 @@
     }
 }
 
-/// Takes a connection that waits, if there is a descriptor for it by now. If not, it is closed by means of the spare
-/// one: a caller that is left in the queue hears nothing until its own timeout. Returns whether `socket` is to be
-/// served.
+/// Accepts a waiting connection if a descriptor has become free. Otherwise the spare descriptor is released to accept
+/// and close it, since a caller that is left in the listen queue gets no reply until its own timeout. Returns whether
+/// `socket` is to be served.
 bool HttpServer::acceptOrRefuse(tcp::socket &socket)
 {
     beast::error_code error;
@@ -553,7 +558,7 @@
     m_spare.release();
     m_acceptor.accept(socket, error);
     if (!error) {
-        noteRefusal("descriptors");
+        recordRefusal("descriptors");
     }
     socket.close(error);
     m_spare.reacquire();
@@ -567,7 +572,7 @@
     co_await pause.async_wait(into(ignored));
 }
 
-void HttpServer::noteRefusal(std::string_view cause)
+void HttpServer::recordRefusal(std::string_view cause)
 {
     ++m_refused;
     PAPAYASTEP_LOG(WARNING, logPrefix) << "Refused a connection."
--- a/src/net/httpserver_test.cpp
+++ b/src/net/httpserver_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Below the ports that the kernel gives to outgoing connections, of which one may stand in the way.
+// Below the ephemeral port range, so that an outgoing connection does not occupy the port.
 constexpr std::uint16_t port = 18471;
 constexpr std::string_view requestText = "GET / HTTP/1.1\r\nHost: a.example\r\n\r\n";
 
@@ -31,7 +31,7 @@
     }
 };
 
-/// A server and a caller on an open connection, in one thread that goes step by step.
+/// A server and a caller on an open connection, in one thread that runs step by step.
 struct OpenConnectionFixture
 {
     explicit OpenConnectionFixture(const net::ServerLimits &limits = {})
@@ -41,7 +41,7 @@
         context.poll();
     }
 
-    /// Sends in parts that fit into the buffers of the connection, and lets the server take in each.
+    /// Sends `bytes` in parts that fit into the buffers of the connection, and lets the server read each part.
     void send(std::string_view bytes)
     {
         constexpr std::size_t partBytes = 4096;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What the caller reads until the end of the connection; nothing if it was reset.
+    /// Returns what the caller reads until the end of the connection, or nothing if the connection was reset.
     std::optional<std::string> readToEnd()
     {
         std::string text;
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Lets the server work until `condition` holds. Returns whether it came to hold.
+    /// Runs the server until `condition` holds, for at most 10 seconds. Returns whether it holds.
     template<typename Condition>
     bool workUntil(const Condition &condition)
     {
-        const auto patience = std::chrono::steady_clock::now() + std::chrono::seconds(10);
-        while (!condition() && std::chrono::steady_clock::now() < patience) {
+        const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(10);
+        while (!condition() && std::chrono::steady_clock::now() < deadline) {
             context.run_one_for(std::chrono::milliseconds(100));
         }
         return condition();
@@ -87,7 +87,7 @@
     net::asio::ip::tcp::socket caller{callerContext};
 };
 
-/// Leaves this process no file descriptor to open, for its lifetime.
+/// Prevents this process from opening any further file descriptor during the lifetime of the object.
 class NoDescriptorLeft
 {
 public:
@@ -95,7 +95,7 @@
     {
         ::getrlimit(RLIMIT_NOFILE, &m_before);
         rlimit lowered = m_before;
-        // Descriptors are given out from the lowest free one up.
+        // The kernel assigns the lowest free descriptor.
         const int lowestFree = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
         ::close(lowestFree);
         lowered.rlim_cur = static_cast<rlim_t>(lowestFree);
@@ -116,9 +116,9 @@
 
 BOOST_AUTO_TEST_SUITE(httpServer)
 
-// A node stops just when a caller sends its next refund on a connection it has kept open. If the node has taken the
-// bytes in and then closes, the caller can't know whether the refund was paid. So the request is answered, or its bytes
-// are left unread and the connection is reset, which callers may take as "not run".
+// A node stops while a caller sends its next request on a kept connection. If the node had read the bytes and closed
+// the connection, the caller could not know whether the request has run. So the request is answered, or its bytes stay
+// unread and the connection is reset, which callers may take as "not run".
 BOOST_AUTO_TEST_CASE(stop_requestJustReadFromKeptConnection_isAnswered)
 {
     constexpr int stepsOfARequest = 12;
@@ -147,16 +147,17 @@
     BOOST_TEST(open.server.inFlight() == 0U);
 }
 
-// A process has used up its file descriptors. Callers that connect then lay in its queue until their own timeouts; now
-// each is closed at once and can go to another node, and when descriptors come free, callers are served again.
-BOOST_AUTO_TEST_CASE(connect_noDescriptorLeft_isClosedUntilThereIsOne)
+// A process has used up its file descriptors. Guards against callers that wait in the listen queue until their own
+// timeouts: each connection is closed at once, so that its caller can use another node, and callers are served again
+// when descriptors become free.
+BOOST_AUTO_TEST_CASE(connect_withoutFreeDescriptor_isClosedUntilOneIsFree)
 {
     OpenConnectionFixture open;
     net::tcp::socket second(open.callerContext, net::tcp::v4());
     net::tcp::socket third(open.callerContext, net::tcp::v4());
     const net::tcp::endpoint listener{net::asio::ip::make_address("127.0.0.1"), port};
     {
-        const NoDescriptorLeft shortage;
+        const NoDescriptorLeft noDescriptorLeft;
         second.connect(listener);
         BOOST_TEST(open.workUntil([&] { return open.server.refusedConnections() == 1U; }));
     }
@@ -168,9 +169,10 @@
     BOOST_TEST(open.workUntil([&] { return open.server.connections() == 2U; }));
 }
 
-// Where longer headers are allowed, one caller sends a field of more than 64 KiB, which the HTTP library can't hold.
-// Its exception left the loop, and one request ended the node with the requests of all other callers.
-BOOST_AUTO_TEST_CASE(request_fieldLongerThanTheLibraryHolds_isRefused)
+// With a raised header limit, a caller sends a field of more than 64 KiB, for which the HTTP library throws. Guards
+// against an exception that leaves the event loop, so that one request ends the node with the requests of all other
+// callers.
+BOOST_AUTO_TEST_CASE(request_fieldLongerThanTheLibrarySupports_isRefused)
 {
     net::ServerLimits limits;
     limits.headerBytes = 256 * 1024;
@@ -180,8 +182,8 @@
     BOOST_TEST(open.server.inFlight() == 0U);
 }
 
-// Fields may also follow a chunked body, where no limit of the header is looked at.
-BOOST_AUTO_TEST_CASE(request_trailerLongerThanTheLibraryHolds_isRefused)
+// Fields may also follow a chunked body, where the header limit is not checked.
+BOOST_AUTO_TEST_CASE(request_trailerLongerThanTheLibrarySupports_isRefused)
 {
     OpenConnectionFixture open;
     open.send("POST / HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nLong: "
@@ -190,10 +192,10 @@
     BOOST_TEST(open.server.inFlight() == 0U);
 }
 
-// Operators allow longer headers while callers hold connections open. A long header on such a connection ended its
-// coroutine without an answer, and its request counted as open for ever: the node's next planned stop waited for it
-// until its time was over.
-BOOST_AUTO_TEST_CASE(request_longHeaderOnConnectionOlderThanItsLimit_isAnswered)
+// The header limit is raised while connections are open. Guards against a long header on such a connection that ends
+// its coroutine without an answer: its request would count as in flight for ever, and the next planned stop of the node
+// would wait for it until the stop times out.
+BOOST_AUTO_TEST_CASE(request_longHeaderOnConnectionOlderThanTheLimit_isAnswered)
 {
     OpenConnectionFixture open;
     net::ServerLimits limits;
--- a/src/net/peerendpoint.cpp
+++ b/src/net/peerendpoint.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view logPrefix = "net";
 
-constexpr base::Duration idlePeer = std::chrono::seconds(120);
+constexpr base::Duration peerIdleTimeout = std::chrono::seconds(120);
 
 }
 
@@ -56,7 +56,7 @@
 
 void PeerEndpoint::sweep()
 {
-    const auto oldest = m_clock.now() - idlePeer;
+    const auto oldest = m_clock.now() - peerIdleTimeout;
     std::erase_if(m_senders, [&](const auto &entry) {
         const bool isIdle = entry.second->lastUsed() < oldest;
         if (isIdle) {
--- a/src/net/peerendpoint_test.cpp
+++ b/src/net/peerendpoint_test.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-/// Bounds a wait for what must come; none of the checks depends on how long it takes.
-constexpr std::chrono::seconds patience{20};
+/// Limits the wait for an expected message; no check depends on how long it takes.
+constexpr std::chrono::seconds timeout{20};
 
-// Below the ports that the kernel gives to outgoing connections, of which one may stand in the way.
+// Below the ephemeral port range, so that an outgoing connection does not occupy the ports.
 constexpr std::uint16_t leftPort = 18472;
 constexpr std::uint16_t rightPort = 18473;
 
@@ -38,10 +38,10 @@
             io, clock, right, [this](std::string bytes) { received.push_back(std::move(bytes)); });
     }
 
-    /// Runs what is due until `count` messages have come, at the longest for `patience`.
+    /// Runs pending handlers until `count` messages have been received, for at most `timeout`.
     void awaitMessages(std::size_t count)
     {
-        const auto end = clock.now() + patience;
+        const auto end = clock.now() + timeout;
         while (received.size() < count && clock.now() < end) {
             io.restart();
             io.run_one_for(10ms);
@@ -51,7 +51,7 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(messages_sentBeforeTheConnectionStands_arriveInOrder, PeersFixture)
+BOOST_FIXTURE_TEST_CASE(messages_sentBeforeTheConnectionIsOpen_arriveInOrder, PeersFixture)
 {
     const auto peer = receiver();
     BOOST_TEST(sender.send(right, "one"));
@@ -65,8 +65,8 @@
     BOOST_TEST(sender.counters().messagesSent == 3U);
 }
 
-// A node ended by a write to freed memory as it sent to a peer that had just been killed.
-BOOST_FIXTURE_TEST_CASE(send_whileThePeerGoesAndComesBack_harmsNothing, PeersFixture)
+// Guards against a write to freed memory, which ended a node that sent to a peer that had just been killed.
+BOOST_FIXTURE_TEST_CASE(send_whileThePeerStopsAndRestarts_deliversAgain, PeersFixture)
 {
     constexpr int rounds = 150;
     for (int round = 0; round < rounds; ++round) {
@@ -85,7 +85,7 @@
     }
     const auto peer = receiver();
     received.clear();
-    const auto end = clock.now() + patience;
+    const auto end = clock.now() + timeout;
     while (received.empty() && clock.now() < end) {
         sender.send(right, "still there");
         io.restart();
@@ -94,21 +94,21 @@
     BOOST_TEST(!received.empty());
 }
 
-// A stranger that announces a message of four billion bytes would have them gathered.
-BOOST_FIXTURE_TEST_CASE(connection_thatAnnouncesTooLongAMessage_isClosedAndOthersStay, PeersFixture)
+// Guards against an intruder that announces a message of four billion bytes, which would otherwise be buffered.
+BOOST_FIXTURE_TEST_CASE(connection_announcingTooLongMessage_isClosedAndOthersStayOpen, PeersFixture)
 {
     const auto peer = receiver();
-    net::tcp::socket stranger(io);
-    stranger.connect({net::asio::ip::address_v4::loopback(), right.port});
-    net::asio::write(stranger, net::asio::buffer(std::string(64, '\xff')));
+    net::tcp::socket intruder(io);
+    intruder.connect({net::asio::ip::address_v4::loopback(), right.port});
+    net::asio::write(intruder, net::asio::buffer(std::string(64, '\xff')));
     net::beast::error_code error;
     bool ended = false;
     char byte = 0;
-    stranger.async_read_some(net::asio::buffer(&byte, 1), [&](const net::beast::error_code &result, std::size_t) {
+    intruder.async_read_some(net::asio::buffer(&byte, 1), [&](const net::beast::error_code &result, std::size_t) {
         error = result;
         ended = true;
     });
-    const auto end = clock.now() + patience;
+    const auto end = clock.now() + timeout;
     while (!ended && clock.now() < end) {
         io.restart();
         io.run_one_for(10ms);
@@ -120,19 +120,20 @@
     BOOST_TEST(received.size() == 1U);
 }
 
-// A peer that takes nothing must cost its sender a few messages of memory, and no time.
-BOOST_FIXTURE_TEST_CASE(send_toAPeerThatIsNotThere_dropsWhatDoesNotFit, PeersFixture)
+// A peer that accepts no messages must cost its sender only the memory of a few messages, and no time.
+BOOST_FIXTURE_TEST_CASE(send_toUnreachablePeer_dropsWhatDoesNotFit, PeersFixture)
 {
-    int taken = 0;
+    int accepted = 0;
     for (int message = 0; message < 100; ++message) {
-        taken += sender.send(right, "one") ? 1 : 0;
+        accepted += sender.send(right, "one") ? 1 : 0;
     }
-    BOOST_TEST(taken == 16);
+    BOOST_TEST(accepted == 16);
     BOOST_TEST(sender.counters().dropped == 84U);
 }
 
-// A fault in the task that sends left it marked as running, and its peer got no message any more.
-BOOST_FIXTURE_TEST_CASE(send_afterAFaultOfItsTask_isTakenUpAgain, PeersFixture)
+// The sending task throws. Guards against a sender that stays marked as sending, so that its peer gets no message any
+// more.
+BOOST_FIXTURE_TEST_CASE(send_afterItsTaskThrew_isResumed, PeersFixture)
 {
     const net::Endpoint notAnAddress{"nowhere", rightPort};
     constexpr int messages = 40;
--- a/src/net/peerlistener.cpp
+++ b/src/net/peerlistener.cpp
@@ -18,10 +18,11 @@
 constexpr std::size_t readBytes = 4u << 10;
 constexpr base::Duration pauseAfterFailure = std::chrono::milliseconds(100);
 
-/// Connections of peers that are gone would use up the descriptors of a node that runs for weeks.
-constexpr base::Duration idleProbing = std::chrono::seconds(120);
+/// Time after which a connection to a peer that has disappeared is closed. Such connections would otherwise use up the
+/// file descriptors of a node that runs for weeks.
+constexpr base::Duration keepAliveTimeout = std::chrono::seconds(120);
 
-/// The messages in a stream of bytes that comes in pieces.
+/// Extracts the messages from a stream of bytes that arrives in pieces.
 class FrameReader
 {
 public:
@@ -30,7 +31,7 @@
         m_bytes.append(bytes);
     }
 
-    /// Whether the next message can't be one: too long, or empty.
+    /// Whether the length of the next message is invalid: too large, or 0.
     bool isBroken() const
     {
         const auto length = nextLength();
@@ -64,7 +65,7 @@
     }
 
     std::string m_bytes;
-    std::size_t m_begin = 0; ///< Of the next message.
+    std::size_t m_begin = 0; ///< Position of the next message in m_bytes.
 };
 
 }
@@ -114,7 +115,7 @@
             co_await timer.async_wait(into(error));
             continue;
         }
-        enableKeepAlive(*socket, idleProbing);
+        enableKeepAlive(*socket, keepAliveTimeout);
         m_connections.insert(socket);
         spawnTask(m_context, "peer-read", [self = shared_from_this(), socket] { return self->readAll(socket); });
     }
@@ -132,7 +133,7 @@
             runStep(m_context, "peer-message", [&] { m_receive(std::move(*message)); });
         }
         if (frames.isBroken()) {
-            PAPAYASTEP_LOG(WARNING, logPrefix) << "Closed a peer's connection; its bytes are no messages.";
+            PAPAYASTEP_LOG(WARNING, logPrefix) << "Closed a peer connection that sent an invalid message length.";
             break;
         }
     }
--- a/src/net/peerlistener.h
+++ b/src/net/peerlistener.h
@@ -10,17 +10,17 @@
 
 namespace papayastep::net {
 
-/// Takes the connections of peers and the messages that come over them, as PeerSender sends them.
+/// Accepts the connections of peers and receives the messages that PeerSender sends over them.
 class PeerListener : public std::enable_shared_from_this<PeerListener>
 {
 public:
     using Receiver = std::function<void(std::string message)>;
 
-    /// Listens at once. Throws Error(SettingsAddressInUse).
+    /// Starts to listen. Throws Error(SettingsAddressInUse) if it can't.
     PeerListener(asio::io_context &context, const Endpoint &listen, Receiver receive);
 
     void start();
-    /// Calls no receiver any more.
+    /// Closes all connections. The receiver is not called any more.
     void close();
 
 private:
--- a/src/net/peersender.cpp
+++ b/src/net/peersender.cpp
@@ -13,8 +13,9 @@
 
 namespace {
 
-/// Messages that wait while a connection is made or full. Few: an old message helps nobody.
-constexpr std::size_t longestQueue = 16;
+/// Maximum number of messages that wait while the connection is being opened or is full. It is small, since old
+/// messages are of no use.
+constexpr std::size_t maxQueuedMessages = 16;
 
 constexpr base::Duration connectTimeout = std::chrono::milliseconds(500);
 constexpr base::Duration deadPeerTimeout = std::chrono::seconds(2);
@@ -41,7 +42,7 @@
 bool PeerSender::send(const std::string &message, base::TimePoint now)
 {
     m_lastUsed = now;
-    if (m_queue.size() >= longestQueue || message.size() > wire::maxMessageBytes) {
+    if (m_queue.size() >= maxQueuedMessages || message.size() > wire::maxMessageBytes) {
         return false;
     }
     m_queue.push_back(message);
@@ -69,7 +70,7 @@
     try {
         co_await sendQueued();
     } catch (...) {
-        // What waits would keep the queue full, and nothing would be sent to this peer any more.
+        // Queued messages would keep the queue full, and nothing would be sent to this peer any more.
         m_queue.clear();
         m_isSending = false;
         throw;
@@ -106,10 +107,10 @@
     const auto socket = std::make_shared<tcp::socket>(m_context);
     asio::steady_timer timer(m_context, connectTimeout);
     timer.async_wait([weak = std::weak_ptr<tcp::socket>(socket)](const beast::error_code &error) {
-        const Socket late = weak.lock();
-        if (!error && late) {
+        const Socket overdue = weak.lock();
+        if (!error && overdue) {
             beast::error_code ignored;
-            late->close(ignored);
+            overdue->close(ignored);
         }
     });
     beast::error_code error;
@@ -126,7 +127,8 @@
     co_return true;
 }
 
-/// A peer sends nothing on this connection. Without a read, its end shows only after a message is lost on it.
+/// Detects the end of a connection by a read, although the peer sends nothing on it. Without the read, the end would be
+/// detected only after a message has been lost.
 Awaitable<void> PeerSender::watch(Socket socket)
 {
     std::array<char, 1> byte{};
--- a/src/net/peersender.h
+++ b/src/net/peersender.h
@@ -10,14 +10,14 @@
 
 namespace papayastep::net {
 
-/// The messages to one peer and the connection that carries them, which is made when there is something to send.
-/// Each message goes as its length in four bytes, the most significant first, and its bytes.
+/// Sends messages to one peer over a connection that is opened when there is something to send. Each message is sent as
+/// its length in four bytes, most significant byte first, followed by its bytes.
 class PeerSender : public std::enable_shared_from_this<PeerSender>
 {
 public:
     PeerSender(asio::io_context &context, Endpoint peer);
 
-    /// Never waits. Returns false where too many messages wait already.
+    /// Queues `message` without blocking. Returns false if the queue is full or the message is too long.
     bool send(const std::string &message, base::TimePoint now);
     void close();
 
@@ -35,7 +35,7 @@
 
     asio::io_context &m_context;
     const Endpoint m_peer;
-    Socket m_socket; ///< Null: not connected.
+    Socket m_socket; ///< Null if not connected.
     std::deque<std::string> m_queue;
     base::TimePoint m_lastUsed;
     base::Duration m_backoff{};
--- a/src/net/platformanswers.cpp
+++ b/src/net/platformanswers.cpp
@@ -20,19 +20,19 @@
     throw base::Error(base::ResultCode::PlatformAnswerInvalid, detail);
 }
 
-/// The JSON library turns -1 into the greatest revision and cuts port 70000 down to 4464. A node that took such a
-/// revision would refuse every real one after it; so only whole numbers that fit are read.
+/// The JSON library converts -1 to the greatest revision and truncates port 70000 to 4464. A node that accepted such a
+/// revision would refuse every real one after it, so only integers that fit the type are accepted.
 template<typename Number>
-Number wholeNumber(const nlohmann::json &json, const char *field)
+Number parseInteger(const nlohmann::json &json, const char *field)
 {
     const auto &value = json.at(field);
     if (!value.is_number_unsigned() || value.get<std::uint64_t>() > std::numeric_limits<Number>::max()) {
-        refuse(std::string(field) + " is not a whole number in its range");
+        refuse(std::string(field) + " is not an integer in its range");
     }
     return value.get<Number>();
 }
 
-/// An array, since the JSON library also walks over the members of an object.
+/// Returns an array and refuses anything else, since the JSON library also iterates over the members of an object.
 const nlohmann::json &arrayAt(const nlohmann::json &json, const char *field)
 {
     const auto &value = json.at(field);
@@ -42,15 +42,15 @@
     return value;
 }
 
-/// The address parser stops at a NUL, and would take what stands behind it along into URLs and logs.
-bool isIpNumber(const std::string &text)
+/// The address parser stops at a NUL byte, and the text after it would get into URLs and logs.
+bool isIpAddress(const std::string &text)
 {
     boost::system::error_code error;
     boost::asio::ip::make_address(text, error);
     return !error && text.find('\0') == std::string::npos;
 }
 
-/// File names travel in URLs and in log lines, and decide the order of the merge.
+/// File names appear in URLs and log lines, and determine the order in which the files are merged.
 bool isPlainName(const std::string &name)
 {
     return !name.empty() && name.size() <= 200 && name != "." && name != ".."
@@ -65,13 +65,13 @@
     vm.id = base::VmId(json.at("id").get<std::string>());
     vm.zone = base::ZoneId(json.at("zone").get<std::string>());
     vm.address = json.at("address").get<std::string>();
-    vm.callerPort = wholeNumber<std::uint16_t>(json, "callerPort");
-    vm.hopPort = wholeNumber<std::uint16_t>(json, "hopPort");
-    vm.peerPort = wholeNumber<std::uint16_t>(json, "peerPort");
-    vm.adminPort = wholeNumber<std::uint16_t>(json, "adminPort");
+    vm.callerPort = parseInteger<std::uint16_t>(json, "callerPort");
+    vm.hopPort = parseInteger<std::uint16_t>(json, "hopPort");
+    vm.peerPort = parseInteger<std::uint16_t>(json, "peerPort");
+    vm.adminPort = parseInteger<std::uint16_t>(json, "adminPort");
     vm.leaving = json.value("leaving", false);
-    if (!isIpNumber(vm.address) || vm.id.empty() || vm.zone.empty()) {
-        refuse("a VM needs an id, an availability zone and an IP number");
+    if (!isIpAddress(vm.address) || vm.id.empty() || vm.zone.empty()) {
+        refuse("a VM must have an id, an availability zone and an IP address");
     }
     return vm;
 }
@@ -83,15 +83,15 @@
     PublishedIndex index;
     try {
         const auto document = nlohmann::json::parse(json);
-        index.revision = wholeNumber<base::Revision>(document, "revision");
+        index.revision = parseInteger<base::Revision>(document, "revision");
         std::set<std::string> names;
         for (const auto &entry : arrayAt(document, "files")) {
             PublishedFile file;
             file.name = entry.at("name").get<std::string>();
             file.digest = entry.at("digest").get<std::string>();
-            file.bytes = wholeNumber<std::uint64_t>(entry, "bytes");
+            file.bytes = parseInteger<std::uint64_t>(entry, "bytes");
             if (!isPlainName(file.name) || !isPlainName(file.digest) || !names.insert(file.name).second) {
-                refuse("a file name or digest is not acceptable");
+                refuse("a file name or digest is invalid or listed twice");
             }
             index.files.push_back(std::move(file));
         }
@@ -99,7 +99,7 @@
         refuse(error.what());
     }
     if (index.revision == 0 || index.files.size() > maxFiles) {
-        refuse("the index needs a revision above 0 and at most 10,000 files");
+        refuse("the index must have a revision above 0 and at most 10,000 files");
     }
     return index;
 }
@@ -109,7 +109,7 @@
     config::VmList list;
     try {
         const auto document = nlohmann::json::parse(json);
-        list.version = wholeNumber<std::uint64_t>(document, "version");
+        list.version = parseInteger<std::uint64_t>(document, "version");
         for (const auto &entry : arrayAt(document, "vms")) {
             list.vms.push_back(parseVm(entry));
         }
--- a/src/net/platformanswers_test.cpp
+++ b/src/net/platformanswers_test.cpp
@@ -37,7 +37,7 @@
 
 }
 
-BOOST_FIXTURE_TEST_CASE(answers_wellFormed_areRead, AnswerFixture)
+BOOST_FIXTURE_TEST_CASE(answers_wellFormed_areParsed, AnswerFixture)
 {
     BOOST_TEST((parsePublishedIndex(index.dump()) == PublishedIndex{7, {{"a.json", "00ff", 3}}}));
     const auto list = parseVmList(vms.dump());
@@ -48,8 +48,8 @@
     BOOST_TEST(list.vms[1].adminPort == 65535);
 }
 
-// The platform answers with revision -1, which was read as the greatest of all. The node then refuses every later
-// configuration as older, and operators see that nothing they publish takes effect.
+// The platform answers with revision -1. Guards against reading it as the greatest revision, after which the node would
+// refuse every later configuration as older and nothing that operators publish would take effect.
 BOOST_FIXTURE_TEST_CASE(index_withNumberOutOfRange_isRefused, AnswerFixture)
 {
     for (const json &value : {json(-1), json(0), json(1.5), json("1"), json(nullptr), json(true)}) {
@@ -59,7 +59,7 @@
     refusesVms("/version", -1);
 }
 
-// A port above 65535 was cut down to another one, so that nodes called a stranger's port.
+// Guards against a port above 65535 that is truncated to another port, so that nodes call the wrong process.
 BOOST_FIXTURE_TEST_CASE(vmList_withPortOutOfRange_isRefused, AnswerFixture)
 {
     for (const char *port : {"callerPort", "hopPort", "peerPort", "adminPort"}) {
@@ -68,7 +68,7 @@
     }
 }
 
-// A file name becomes a part of a URL; one that leaves the folder would fetch something else.
+// A file name becomes a part of a URL. Guards against a name that points out of the folder and fetches something else.
 BOOST_FIXTURE_TEST_CASE(index_withNameThatIsNotPlain_isRefused, AnswerFixture)
 {
     for (const std::string name : {"", ".", "..", "a/b", "a b", "a?b", "a\nb"}) {
@@ -89,7 +89,7 @@
     refusesVms("/vms", json::object());
 }
 
-BOOST_FIXTURE_TEST_CASE(answers_thatAreNoJson_areRefused, AnswerFixture)
+BOOST_FIXTURE_TEST_CASE(answers_notValidJson_areRefused, AnswerFixture)
 {
     for (const std::string text : {"", "{", "[]", "null", "\xff"}) {
         BOOST_CHECK_EXCEPTION(parsePublishedIndex(text), base::Error, isInvalid);
--- a/src/net/platformclient.cpp
+++ b/src/net/platformclient.cpp
@@ -50,8 +50,8 @@
     if (!answer) {
         refuse("the platform has no file '" + file.name + "'");
     }
-    // A proxy or a half-written store may hand out other bytes than the index names; a node that built from them
-    // would hold another configuration under the same revision than its peers.
+    // A proxy or a partly written store may return other bytes than the index names. A node that used them would have
+    // another configuration than its peers under the same revision.
     if (config::fingerprintOf(*answer).toString() != file.digest) {
         refuse("the text of '" + file.name + "' does not match its digest");
     }
--- a/src/net/rawheader.cpp
+++ b/src/net/rawheader.cpp
@@ -11,8 +11,8 @@
 
 }
 
-// A bare LF or a folded line is read as a line end by some servers and as data by others. The two then disagree about
-// where a request ends, and a caller could smuggle a second one past the key check: so neither is passed on.
+// Some servers interpret a bare LF or a folded line as a line end and others as data. Two such servers disagree about
+// where a request ends, and a caller could smuggle a second request past the key check, so both forms are refused.
 base::ResultCode checkRawHeader(std::string_view block)
 {
     for (std::size_t at = 0; at < block.size(); ++at) {
--- a/src/net/sparedescriptor.cpp
+++ b/src/net/sparedescriptor.cpp
@@ -39,8 +39,8 @@
     if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) {
         return wanted;
     }
-    const auto mine = static_cast<std::size_t>(static_cast<double>(limit.rlim_cur) * share);
-    return std::min(wanted, std::max<std::size_t>(mine, 1));
+    const auto allowed = static_cast<std::size_t>(static_cast<double>(limit.rlim_cur) * share);
+    return std::min(wanted, std::max<std::size_t>(allowed, 1));
 }
 
 }
--- a/src/net/task.cpp
+++ b/src/net/task.cpp
@@ -9,16 +9,16 @@
 
 constexpr std::string_view logPrefix = "net";
 
-/// Long enough not to spin on a fault that lasts, short enough for duties that others wait for.
+/// Long enough not to spin if the task fails permanently, short enough for tasks on which other code depends.
 constexpr std::chrono::milliseconds restartPause(200);
 
-void logFault(const char *task, const char *what)
+void logFailure(const char *task, const char *what)
 {
     PAPAYASTEP_LOG(ERROR, logPrefix) << "A task failed." << base::field("code", number(base::ResultCode::Internal))
                                      << base::field("task", task) << base::field("what", what);
 }
 
-Awaitable<void> keepRunning(asio::io_context &context, const char *task, std::function<Awaitable<void>()> body)
+Awaitable<void> runUntilReturn(asio::io_context &context, const char *task, std::function<Awaitable<void>()> body)
 {
     bool done = false;
     while (!done) {
@@ -51,9 +51,9 @@
     try {
         std::rethrow_exception(failure);
     } catch (const std::exception &error) {
-        logFault(task, error.what());
+        logFailure(task, error.what());
     } catch (...) {
-        logFault(task, "no standard exception");
+        logFailure(task, "not a standard exception");
     }
 }
 
@@ -85,7 +85,7 @@
 
 void spawnRestartingTask(asio::io_context &context, const char *task, std::function<Awaitable<void>()> body)
 {
-    auto run = [&context, task, body = std::move(body)] { return keepRunning(context, task, body); };
+    auto run = [&context, task, body = std::move(body)] { return runUntilReturn(context, task, body); };
     spawnTask(context, task, std::move(run));
 }
 
--- a/src/net/task_test.cpp
+++ b/src/net/task_test.cpp
@@ -19,9 +19,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(task, LoopFixture)
 
-// A handler runs out of memory or descriptors in a moment of need. Out of the loop, its exception ended the process,
-// and the requests of all callers broke off with it.
-BOOST_AUTO_TEST_CASE(loop_handlerThrows_runsTheOthers)
+// A handler throws because memory or descriptors are exhausted. Guards against an exception that leaves the event loop
+// and ends the process with the requests of all callers.
+BOOST_AUTO_TEST_CASE(loop_handlerThrows_runsOtherHandlers)
 {
     int ran = 0;
     net::asio::post(context, [] { throw std::bad_alloc(); });
@@ -33,7 +33,7 @@
     BOOST_TEST(net::taskFaults(context).count() == 2U);
 }
 
-// What a detached coroutine throws goes nowhere: whatever it was to do stays undone, and no line says so.
+// Guards against an exception of a detached coroutine that is lost, so that its work stays undone without a log line.
 BOOST_AUTO_TEST_CASE(task_throws_isCounted)
 {
     net::spawnTask(context, "test", []() -> net::Awaitable<void> {
@@ -44,9 +44,9 @@
     BOOST_TEST(net::taskFaults(context).count() == 1U);
 }
 
-// One bad moment ended the loop that accepts connections or renews leases, and the node went on without it: callers
-// hung, tokens ran out, and its process looked alive.
-BOOST_AUTO_TEST_CASE(duty_throwsTwice_isStartedAgain)
+// Guards against one failure that ends the loop which accepts connections or renews leases while the process keeps
+// running: callers would hang and tokens run out although the node appears alive.
+BOOST_AUTO_TEST_CASE(restartingTask_throwsTwice_isRestarted)
 {
     int starts = 0;
     net::spawnRestartingTask(context, "test", [&starts]() -> net::Awaitable<void> {
@@ -60,7 +60,7 @@
     BOOST_TEST(net::taskFaults(context).count() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(step_throws_isCountedAndOver)
+BOOST_AUTO_TEST_CASE(step_throws_isCountedAndEnds)
 {
     net::runStep(context, "test", [] { throw std::runtime_error("broken"); });
     BOOST_TEST(net::taskFaults(context).count() == 1U);
