--- a/src/testing/backend.cpp
+++ b/src/testing/backend.cpp
@@ -44,7 +44,7 @@
     return std::string(request[boost::string_view(name.data(), name.size())]);
 }
 
-/// The caller's own name for the action: header X-Action, else the field "action" of a JSON body.
+/// Returns the caller's identifier of the action: the header X-Action, or else the field "action" of a JSON body.
 std::string actionId(const Request &request)
 {
     std::string fromHeader = header(request, "X-Action");
@@ -55,7 +55,7 @@
     return body.is_object() ? body.value("action", "") : "";
 }
 
-/// The same bytes for the same size, so that a caller can check them.
+/// Generates the same bytes for the same size, so that a caller can check them.
 std::string scanOfSize(std::size_t bytes)
 {
     std::string text(bytes, '\0');
@@ -219,7 +219,7 @@
     };
     auto wait = std::make_shared<Wait>(stream.get_executor());
     wait->timer.expires_after(std::chrono::duration_cast<steady_clock::duration>(time));
-    // A caller that cancels closes its connection: the socket becomes readable and holds no byte.
+    // A caller cancels by closing its connection, which makes the socket readable with no byte to read.
     stream.socket().async_wait(tcp::socket::wait_read, [wait, &stream](boost::system::error_code error) {
         if (error) {
             return;
@@ -386,7 +386,7 @@
     } catch (const std::exception &error) {
         return plain(request, http::status::bad_request, {{"error", error.what()}});
     }
-    return plain(request, http::status::not_found, {{"error", "no such control"}});
+    return plain(request, http::status::not_found, {{"error", "unknown control path"}});
 }
 
 BackendStandIn &BackendFleet::server(std::uint16_t port)
@@ -396,7 +396,7 @@
             return *standIn;
         }
     }
-    throw std::runtime_error("no server on port " + std::to_string(port));
+    throw std::runtime_error("no backend server listens on port " + std::to_string(port));
 }
 
 }
--- a/src/testing/faultproxy.cpp
+++ b/src/testing/faultproxy.cpp
@@ -58,7 +58,7 @@
     std::set<Pair *> pairs;
 };
 
-/// One connection through a link: the caller's side and the target's side.
+/// One connection through a link, with the socket of the caller and the socket of the target.
 struct FaultProxy::Pair
 {
     Pair(std::shared_ptr<Link> through, tcp::socket socket)
@@ -96,7 +96,7 @@
     for (const std::string &text : links) {
         const std::size_t colon = text.find(':');
         if (colon == std::string::npos) {
-            throw std::invalid_argument("a link is LISTEN:TARGET, not " + text);
+            throw std::invalid_argument("link must be LISTEN:TARGET, got " + text);
         }
         const auto listen = static_cast<std::uint16_t>(std::stoul(text.substr(0, colon)));
         const auto target = static_cast<std::uint16_t>(std::stoul(text.substr(colon + 1)));
@@ -148,7 +148,7 @@
             continue;
         }
         if (error && drops) {
-            // The break hides the close as well; the pair ends when the other direction does.
+            // A dropped direction does not forward the close either; the pair ends when the other direction ends.
             co_return;
         }
         if (error) {
@@ -202,7 +202,7 @@
             }
             return jsonResponse(request, 200, json::object());
         }
-        return jsonResponse(request, 404, {{"error", "no such link"}});
+        return jsonResponse(request, 404, {{"error", "unknown link"}});
     } catch (const json::exception &error) {
         return jsonResponse(request, 400, {{"error", error.what()}});
     }
--- a/src/testing/httpserver.cpp
+++ b/src/testing/httpserver.cpp
@@ -29,7 +29,7 @@
     tcp::acceptor acceptor;
     std::uint16_t port;
     Handler handler;
-    std::size_t generation = 0; ///< Rises with each close(), so that an old accept loop ends.
+    std::size_t generation = 0; ///< Incremented by each close(), so that an old accept loop ends.
     std::set<Stream *> streams;
 };
 
@@ -98,7 +98,7 @@
             }
         }
     } catch (const boost::system::system_error &) {
-        // The other side went away: there is nobody left to tell.
+        // The peer has closed the connection, so no response can be sent.
     }
     state->streams.erase(&stream);
 }
--- a/src/testing/loadclient.cpp
+++ b/src/testing/loadclient.cpp
@@ -43,7 +43,7 @@
 {
     const std::size_t colon = text.rfind(':');
     if (colon == std::string::npos) {
-        throw std::invalid_argument("a target is ADDRESS:PORT, not " + text);
+        throw std::invalid_argument("target must be ADDRESS:PORT, got " + text);
     }
     return {asio::ip::make_address(text.substr(0, colon)),
             static_cast<std::uint16_t>(std::stoul(text.substr(colon + 1)))};
@@ -93,7 +93,7 @@
 struct LoadClient::Call
 {
     const LoadStream &stream;
-    std::string action; ///< Unique in the run: marks the request, and its answer.
+    std::string action; ///< Identifier that is unique in the run and marks the request and its response.
     std::string path;
     Clock::time_point due;
     double dueUnix;
@@ -105,7 +105,7 @@
     double latencyMs = 0;
     double sentUnix = 0;
     double endUnix = 0;
-    unsigned status = 0; ///< 0: no answer.
+    unsigned status = 0; ///< HTTP status; 0 if no response was received.
     std::string error;
     std::string outcome;
     std::string code;
@@ -337,7 +337,8 @@
     return nullptr;
 }
 
-/// A connection that the server closed meanwhile would look like a cut request; it is not one.
+/// Returns whether an idle connection is still open. A request on a connection that the server has closed meanwhile
+/// would be recorded as a request that was cut off, which it is not.
 bool LoadClient::isUsable(Connection &connection)
 {
     boost::system::error_code error;
--- a/src/testing/main.cpp
+++ b/src/testing/main.cpp
@@ -10,7 +10,8 @@
 #include <csignal>
 #include <iostream>
 
-/// `papayastep-standin platform|backend|proxy|load`: one stand-in per process. Prints "ready" once it listens.
+/// `papayastep-standin platform|backend|proxy|load` runs one stand-in per process. A server prints "ready" once it
+/// listens.
 namespace {
 
 namespace options = boost::program_options;
@@ -131,7 +132,7 @@
     std::signal(SIGPIPE, SIG_IGN);
     try {
         if (sodium_init() < 0) {
-            throw std::runtime_error("libsodium cannot start");
+            throw std::runtime_error("cannot initialize libsodium");
         }
         return run(Arguments(argv + 1, argv + argc));
     } catch (const std::exception &error) {
--- a/src/testing/platform.cpp
+++ b/src/testing/platform.cpp
@@ -74,7 +74,7 @@
     if (target.path.starts_with(filePrefix)) {
         co_return answerFile(request, target);
     }
-    co_return jsonResponse(request, 404, {{"error", "no such path"}});
+    co_return jsonResponse(request, 404, {{"error", "unknown path"}});
 }
 
 PlatformStandIn::Answer PlatformStandIn::answerWatch(const Request &request,
@@ -114,7 +114,7 @@
     const auto found = offeredFiles().find(target.path.substr(filePrefix.size()));
     const std::string wanted = target.value("digest", "");
     if (found == offeredFiles().end() || (!wanted.empty() && wanted != sha256(found->second))) {
-        return jsonResponse(request, 404, {{"error", "not published"}});
+        return jsonResponse(request, 404, {{"error", "file is not published with this name and digest"}});
     }
     Response response(http::status::ok, request.version());
     response.set(http::field::content_type, "application/json");
@@ -136,7 +136,7 @@
     } else if (target.path == "/control/mode") {
         changeMode(body);
     } else {
-        return jsonResponse(request, 404, {{"error", "no such control"}});
+        return jsonResponse(request, 404, {{"error", "unknown control path"}});
     }
     m_changed.cancel();
     return jsonResponse(request, 200, {{"revision", m_revisions.size()}, {"version", m_vmLists.size()}});
