--- a/src/fuzz/corpus_test.cpp
+++ b/src/fuzz/corpus_test.cpp
@@ -32,7 +32,8 @@
         }
         return inputs;
     }
-    /// One to four bytes changed, dropped or doubled. Uses only raw draws, which are the same on every platform.
+    /// Returns `bytes` after one to four mutations, each of which changes a byte or removes or duplicates a few. Uses
+    /// the generator without distributions, because only its raw values are the same on every platform.
     std::string mutated(std::string bytes)
     {
         for (std::uint64_t left = 1 + random() % 4; left > 0 && !bytes.empty(); --left) {
@@ -59,7 +60,8 @@
 
 }
 
-// A broken or hostile sender makes bytes that nobody expected. Another exception than ours would end the node.
+// A faulty or hostile sender sends malformed bytes. A decoder that throws anything but base::Error for them would
+// terminate the node.
 BOOST_FIXTURE_TEST_CASE(targets_withCorpusAndMutations_throwNothing, CorpusFixture)
 {
     for (const Target &target : targets()) {
--- a/src/fuzz/libfuzzer.cpp
+++ b/src/fuzz/libfuzzer.cpp
@@ -3,7 +3,7 @@
 #include <cstddef>
 #include <cstdint>
 
-/// The entry of libFuzzer; the build names the function of targets.h that it drives.
+/// Entry point of libFuzzer. The build selects the function of targets.h that it calls.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     papayastep::fuzz::PAPAYASTEP_FUZZ_TARGET({reinterpret_cast<const char *>(data), size});
--- a/src/fuzz/targets.cpp
+++ b/src/fuzz/targets.cpp
@@ -22,7 +22,7 @@
 
 const std::string secret = "a fleet secret of fuzzing";
 
-/// Calls `read`; a refusal by base::Error is a good end.
+/// Calls `read` and accepts base::Error, with which it rejects malformed input.
 template<typename Reader>
 void refusesOrReads(Reader read)
 {
@@ -40,7 +40,7 @@
     return bytes;
 }
 
-/// The header of a hop with a good tag around any payload, so that its decoder is reached.
+/// Returns a hop header with a valid tag for any payload, so that the input reaches the decoder of the payload.
 std::string hopHeader(std::string_view payload, std::string_view context)
 {
     constexpr int variant = sodium_base64_VARIANT_URLSAFE_NO_PADDING;
@@ -107,7 +107,7 @@
 {
     const bool accepted = net::checkRawHeader(bytes) == base::ResultCode::Ok;
     if (accepted && bytes.find('\0') != std::string_view::npos) {
-        throw std::logic_error("a NUL was accepted");
+        throw std::logic_error("accepted header block contains a NUL byte");
     }
 }
 
--- a/src/fuzz/targets.h
+++ b/src/fuzz/targets.h
@@ -3,33 +3,33 @@
 #include <span>
 #include <string_view>
 
-/// What is fuzzed: each function reads bytes as a node would, and lets nothing but base::Error come about. Any other
-/// exception escapes, for the fuzzer or the replaying test to report.
+/// Fuzz targets. Each function decodes bytes as a node does and accepts base::Error. Any other exception propagates, so
+/// that the fuzzer or the test that replays the corpus reports it.
 namespace papayastep::fuzz {
 
-/// One configuration file.
+/// Decodes one configuration file.
 void fuzzConfiguration(std::string_view bytes);
 
-/// The headers of a hop, as they come and as the payload behind a good tag.
+/// Decodes the headers of a hop, from the input as received and from the input as a payload with a valid tag.
 void fuzzHop(std::string_view bytes);
 
-/// A message between nodes, as it comes and as the payload of each kind.
+/// Decodes a message between nodes, from the input as received and from the input as a payload of each kind.
 void fuzzPeer(std::string_view bytes);
 
-/// The platform's index and VM list.
+/// Decodes the platform's index and VM list.
 void fuzzPlatform(std::string_view bytes);
 
-/// A raw HTTP header block.
+/// Decodes a raw HTTP header block.
 void fuzzRawHeader(std::string_view bytes);
 
-/// A target by the name of its corpus folder.
+/// A fuzz target with the name of its corpus folder.
 struct Target
 {
     std::string_view name;
     void (*run)(std::string_view bytes);
 };
 
-/// All of them.
+/// Returns all fuzz targets.
 std::span<const Target> targets();
 
 }
--- a/src/include/papayastep/testing/backend.h
+++ b/src/include/papayastep/testing/backend.h
@@ -10,18 +10,19 @@
 
 namespace papayastep::testing {
 
-/// How a backend server misbehaves. /health says "ok" under all of them but Refuse: health endpoints mislead.
+/// Faults of a backend server. /health reports "ok" under every fault except Refuse, because real health endpoints can
+/// report a failing server as healthy.
 enum class FaultKind {
     None,
-    Slow, ///< Work takes `factor` times as long.
-    Errors, ///< A share `ratio` of the requests gets 500; half of these after the action has run.
-    Hang, ///< A share `ratio` never gets an answer; half of these after the action has run.
-    HalfAlive, ///< Health and load endpoints answer well, all work gets 500 without running.
-    Partial, ///< A share `ratio` of the answers is cut half-way.
-    Flap, ///< Changes between None and Errors every `period` seconds.
+    Slow, ///< Requests take `factor` times as long.
+    Errors, ///< A share `ratio` of the requests fails with 500, half of them after the action has run.
+    Hang, ///< A share `ratio` of the requests gets no response, half of them after the action has run.
+    HalfAlive, ///< The health and load endpoints respond normally; every other request fails with 500 before it runs.
+    Partial, ///< A share `ratio` of the responses is cut off half-way.
+    Flap, ///< The server alternates between None and Errors every `period` seconds.
     Refuse, ///< Connections are refused.
-    Pause, ///< Everything stands still until the fault is changed, then answers come late.
-    Shed, ///< A share `ratio` is refused with 503 and Retry-After, as overload.
+    Pause, ///< The server processes nothing until the fault is changed, then sends the responses late.
+    Shed, ///< A share `ratio` of the requests is refused with 503 and Retry-After, as under overload.
 };
 
 struct Fault
@@ -35,16 +36,17 @@
 struct BackendSettings
 {
     int slots = 5;
-    double serviceTimeMs = 5; ///< Median; the times are log-normal.
+    double serviceTimeMs = 5; ///< Median of the log-normally distributed service times.
     double sigma = 0.25;
-    double coldSeconds = 0; ///< For so long after the start work takes `coldFactor` times as long.
+    double coldSeconds = 0; ///< Time after the start during which requests take `coldFactor` times as long.
     double coldFactor = 5;
     std::uint64_t seed = 1;
 };
 
-/// One backend server. Any method and path is answered with an echo of what came, so that a caller can check that
-/// the answer is whole and its own. GET /scans/N answers N bytes and their SHA-256 in X-Sha256.
-/// POST, PUT, PATCH and DELETE run an action half-way through the work; a request cancelled before does not run.
+/// Stand-in for one backend server. It responds to any method and path with an echo of the request, so that a caller
+/// can check that the response is complete and belongs to its request. GET /scans/N returns N bytes, with their SHA-256
+/// in X-Sha256. POST, PUT, PATCH and DELETE run an action half-way through the service time; a request that is
+/// cancelled earlier does not run its action.
 class BackendStandIn
 {
 public:
@@ -53,13 +55,13 @@
     std::uint16_t port() const;
     void setFault(const Fault &fault);
 
-    /// All that ran here: the actions, and counters.
+    /// Returns the actions that have run on this server, and its counters.
     nlohmann::json record() const;
 
-    /// When each request was started, as [time, workspace].
+    /// Returns the start time of each request, as [time, workspace].
     nlohmann::json arrivals() const;
 
-    /// Strings that no request may hold in a header: callers' keys.
+    /// Sets the callers' keys, which no request may contain in a header.
     void watchForKeys(std::vector<std::string> keys);
 
 private:
@@ -101,7 +103,7 @@
     HttpServer m_server;
 };
 
-/// Many backend servers of one process, with one control surface on every port and on `controlPort` if not 0:
+/// Several backend servers in one process, with one control interface on every port and on `controlPort` if not 0:
 ///   PUT /control/fault     {"port": P, "kind": "slow", "factor": 10, "ratio": 0.33, "period": 2}
 ///   PUT /control/keys      {"keys": ["..."]}
 ///   GET /control/record?port=P, GET /control/arrivals?port=P
--- a/src/include/papayastep/testing/faultproxy.h
+++ b/src/include/papayastep/testing/faultproxy.h
@@ -9,27 +9,28 @@
 
 namespace papayastep::testing {
 
-/// What a link does to the bytes that pass. All members off: they pass unharmed.
+/// Faults of a link. The link forwards all bytes unchanged while every member has its default value.
 struct LinkFault
 {
-    bool dropToTarget = false; ///< Bytes towards the target are read and thrown away: a one-way break.
-    bool dropToCaller = false; ///< The other direction.
-    bool stall = false; ///< Nothing is read: the sender's window fills up.
-    bool reset = false; ///< Connections, old and new, are closed at once with RST.
-    double delayMs = 0; ///< Each chunk of bytes waits so long.
+    /// Bytes towards the target are read and discarded, which simulates a one-way network failure.
+    bool dropToTarget = false;
+    bool dropToCaller = false; ///< Bytes towards the caller are read and discarded.
+    bool stall = false; ///< Nothing is read, so that the sender's TCP window fills up.
+    bool reset = false; ///< Existing and new connections are closed at once with RST.
+    double delayMs = 0; ///< Delay of each chunk of bytes.
     double bytesPerSecond = std::numeric_limits<double>::infinity();
-    std::size_t cutAfter
-        = std::numeric_limits<std::size_t>::max(); ///< The connection closes after so many bytes towards the caller.
+    /// Number of bytes towards the caller after which the connection closes.
+    std::size_t cutAfter = std::numeric_limits<std::size_t>::max();
 };
 
-/// Passes TCP bytes from listening ports to targets on 127.0.0.1, and breaks the links on command:
+/// Forwards TCP connections from listening ports to targets on 127.0.0.1, and injects faults into the links on command:
 ///   PUT /control/link {"listen": P, "drop": "none|to-target|to-caller|both", "stall": false, "reset": false,
 ///                      "delayMs": 0, "bytesPerSecond": N, "cutAfter": N}
-/// What is left out is off: each command states the whole fault.
+/// Each command replaces the whole fault of the link; a field that it omits is off.
 class FaultProxy
 {
 public:
-    /// `links` are "LISTEN:TARGET" port pairs. Throws std::invalid_argument for anything else.
+    /// `links` are "LISTEN:TARGET" port pairs. Throws std::invalid_argument if one has another form.
     FaultProxy(boost::asio::io_context &context, std::uint16_t controlPort, const std::vector<std::string> &links);
 
 private:
--- a/src/include/papayastep/testing/httpserver.h
+++ b/src/include/papayastep/testing/httpserver.h
@@ -14,26 +14,27 @@
 #include <set>
 #include <string>
 
-/// Stand-ins for what surrounds the fleet: platform, backend servers, faulty links, callers. For tests only.
+/// Stand-ins for the systems around the fleet: platform, backend servers, faulty links and callers. For tests only.
 namespace papayastep::testing {
 
 using Stream = boost::beast::tcp_stream;
 using Request = boost::beast::http::request<boost::beast::http::string_body>;
 using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
-/// Answers one request. No value: the connection is closed without (more of) an answer.
+/// Handles one request. If it returns no value, the connection is closed without a response, or without the rest of
+/// one.
 using Handler = std::function<boost::asio::awaitable<std::optional<Response>>(Stream &, const Request &)>;
 
 /// A small HTTP/1.1 server with keep-alive on 127.0.0.1. One thread, one coroutine per connection.
 class HttpServer
 {
 public:
-    /// Listens at once. Throws boost::system::system_error where the port is taken.
+    /// Starts to listen. Throws boost::system::system_error if the port is in use.
     HttpServer(boost::asio::io_context &context, std::uint16_t port, Handler handler);
 
     std::uint16_t port() const;
 
-    /// Stops listening and closes every connection: callers see "connection refused". open() undoes it.
+    /// Stops listening and closes every connection, so that callers get "connection refused" until open() is called.
     void close();
     void open();
 
@@ -46,22 +47,22 @@
     std::shared_ptr<State> m_state;
 };
 
-/// The target of a request, cut at the question mark.
+/// The target of a request, split into path and query.
 struct Target
 {
     std::string path;
     std::map<std::string, std::string> query;
 
-    /// The value of `name`, or `fallback` where the query has none.
+    /// Returns the value of `name`, or `fallback` if the query does not contain it.
     std::string value(const std::string &name, const std::string &fallback) const;
 };
 
 Target targetOf(const Request &request);
 
-/// A JSON answer to `request`.
+/// Returns a JSON response to `request`.
 Response jsonResponse(const Request &request, unsigned status, const nlohmann::json &body);
 
-/// Seconds since the Unix epoch, as every record of the stand-ins states times.
+/// Returns the seconds since the Unix epoch, the unit of time in all records of the stand-ins.
 double unixTime();
 
 }
--- a/src/include/papayastep/testing/loadclient.h
+++ b/src/include/papayastep/testing/loadclient.h
@@ -16,35 +16,37 @@
 {
     std::string planFile;
     std::string outputFile;
-    std::vector<std::string> targets; ///< "127.0.0.1:PORT", the nodes that the calls go to, at random.
+    std::vector<std::string> targets; ///< Nodes as "127.0.0.1:PORT", chosen at random for the calls.
     double seconds = 10;
     int connections = 16; ///< Workers of each closed-loop stream.
     double timeoutSeconds = 15;
     std::uint64_t seed = 1;
 };
 
-/// A stream of like calls, one object of the plan file {"streams": [..]}.
+/// A stream of calls with the same properties, read from one object of the plan file {"streams": [..]}.
 struct LoadStream
 {
-    std::string workspace; ///< Whose the answers must be. Empty: not checked (asked directly, without the fleet).
-    std::string key; ///< Empty: none is sent.
-    double rate = 0; ///< Calls a second, Poisson. 0: closed loop, each worker calls again at once.
+    /// Workspace that the responses must name. Empty: not checked (calls sent directly, without the fleet).
+    std::string workspace;
+    std::string key; ///< Key of the caller. Empty: no key is sent.
+    double rate = 0; ///< Calls per second as a Poisson process. 0: closed loop, each worker calls again at once.
     std::string method = "GET";
-    std::string path = "/"; ///< "{n}" becomes the number of the call.
+    std::string path = "/"; ///< "{n}" is replaced by the number of the call.
     std::string body;
     bool idempotencyKey = false;
     double repeatAfter = 0; ///< Seconds after which a share of the calls is repeated through another node. 0: never.
     double repeatRatio = 1;
-    bool repeatUnknown = false; ///< Repeat calls whose outcome the caller does not know.
-    bool repeatAnswered = false; ///< Repeat calls that were answered with 200, at once and through another node.
-    /// Closed loop only: seconds between an answer and the worker's next call. Not 0: each worker keeps one connection,
-    /// and keeps to its node until that does not answer any more.
+    bool repeatUnknown = false; ///< Whether calls with an unknown outcome are repeated.
+    bool repeatAnswered = false; ///< Whether calls answered with 200 are repeated at once through another node.
+    /// Closed loop only: seconds between a response and the next call of the worker. If it is not 0, each worker keeps
+    /// one connection, and uses the same node until that node no longer responds.
     double pause = 0;
-    double start = 0; ///< Seconds into the run.
+    double start = 0; ///< Start of the stream, in seconds since the start of the run.
     double stop = 1e9;
 };
 
-/// Sends the calls of a plan and writes a JSON line for each attempt. Latency counts from when a call was due.
+/// Sends the calls of a plan and writes a JSON line for each attempt. Latency is counted from the time at which the
+/// call was due.
 class LoadClient
 {
 public:
@@ -53,13 +55,13 @@
     LoadClient(const LoadClient &) = delete;
     LoadClient &operator=(const LoadClient &) = delete;
 
-    /// Starts no new call; those in flight end by themselves.
+    /// Starts no new calls; calls in flight run to their end.
     void stop();
 
-    /// Called once all calls have ended.
+    /// Sets the function that is called once all calls have ended.
     void onFinished(std::function<void()> finished);
 
-    /// Per workspace and for all: offered, answered, not_run, unknown, errors, wrong, p50_ms, p99_ms.
+    /// Returns, per workspace and in total: offered, answered, not_run, unknown, errors, wrong, p50_ms, p99_ms.
     nlohmann::json summary() const;
 
 private:
@@ -85,7 +87,8 @@
     boost::asio::awaitable<void> runFaithful(const LoadStream &stream);
     boost::asio::awaitable<void> makeCall(std::shared_ptr<const Call> call);
     boost::asio::awaitable<void> repeatLater(std::shared_ptr<const Call> call, std::size_t firstTarget);
-    /// `kept` is the connection of a worker that has its own: used if it is open, and given back if it can be used on.
+    /// `kept` is the connection of a worker that has its own. It is used if it is open, and returned if it can be
+    /// reused.
     boost::asio::awaitable<Attempt> attempt(std::shared_ptr<const Call> call,
                                             int number,
                                             std::size_t target,
--- a/src/include/papayastep/testing/platform.h
+++ b/src/include/papayastep/testing/platform.h
@@ -7,14 +7,15 @@
 
 namespace papayastep::testing {
 
-/// The platform's read-only service (docs/PLATFORM.md), and how it fails: away, or stale.
+/// Stand-in for the platform's read-only service (docs/PLATFORM.md) and its two failures, `away` and `stale`.
 ///
 /// Control, on the same port:
 ///   PUT  /control/configuration  {"files": {"NAME": "TEXT"}}           publishes the next revision
 ///   PUT  /control/vms            {"vms": [..]}                          publishes the next VM list
 ///   POST /control/mode           {"mode": "ok"|"away"|"stale", "revision": N}
 ///   GET  /control/reads          {"configuration": N, "files": N, "vms": N}
-/// `away` closes connections without an answer. `stale` keeps offering revision N (default: the latest one then).
+/// `away` closes connections without a response. `stale` keeps offering revision N (default: the latest revision when
+/// the command arrives).
 class PlatformStandIn
 {
 public:
@@ -40,13 +41,13 @@
     nlohmann::json vmListing() const;
     bool isAway() const;
 
-    std::vector<Files> m_revisions; ///< Revision N stands at N - 1.
-    std::vector<nlohmann::json> m_vmLists; ///< Version N stands at N - 1.
+    std::vector<Files> m_revisions; ///< Revision N has the index N - 1.
+    std::vector<nlohmann::json> m_vmLists; ///< Version N has the index N - 1.
     std::optional<std::size_t> m_staleRevision;
     std::size_t m_staleVmVersion = 0;
     std::string m_mode = "ok";
     std::map<std::string, std::uint64_t> m_reads;
-    boost::asio::steady_timer m_changed; ///< Cancelled to wake the waiting watches.
+    boost::asio::steady_timer m_changed; ///< Cancelled to wake the waiting requests.
     HttpServer m_server;
 };
 
