--- a/src/fuzz/targets.cpp
+++ b/src/fuzz/targets.cpp
@@ -24,7 +24,7 @@
 
 /// Calls `read` and accepts base::Error, with which it rejects malformed input.
 template<typename Reader>
-void refusesOrReads(Reader read)
+void readOrReject(Reader read)
 {
     try {
         read();
@@ -55,7 +55,7 @@
 template<typename... Values>
 void decodeEach(std::string_view payload)
 {
-    (refusesOrReads([&] { wire::decode<Values>(payload); }), ...);
+    (readOrReject([&] { wire::decode<Values>(payload); }), ...);
 }
 
 void decodeEveryKind(std::string_view payload)
@@ -83,24 +83,24 @@
 void fuzzHop(std::string_view bytes)
 {
     static const wire::HopCodec codec(secret);
-    refusesOrReads([&] { codec.openRequest(bytes, "GET", "/", ""); });
-    refusesOrReads([&] { codec.openReply(bytes); });
-    refusesOrReads([&] { codec.openRequest(hopHeader(bytes, "GET /\n"), "GET", "/", ""); });
-    refusesOrReads([&] { codec.openReply(hopHeader(bytes, "reply")); });
+    readOrReject([&] { codec.openRequest(bytes, "GET", "/", ""); });
+    readOrReject([&] { codec.openReply(bytes); });
+    readOrReject([&] { codec.openRequest(hopHeader(bytes, "GET /\n"), "GET", "/", ""); });
+    readOrReject([&] { codec.openReply(hopHeader(bytes, "reply")); });
 }
 
 void fuzzPeer(std::string_view bytes)
 {
     static const wire::EnvelopeCodec codec(secret);
-    refusesOrReads([&] { codec.open(bytes); });
-    refusesOrReads([&] { codec.open(withTag(std::string(bytes), "envelope", {bytes})); });
+    readOrReject([&] { codec.open(bytes); });
+    readOrReject([&] { codec.open(withTag(std::string(bytes), "envelope", {bytes})); });
     decodeEveryKind(bytes);
 }
 
 void fuzzPlatform(std::string_view bytes)
 {
-    refusesOrReads([&] { net::parsePublishedIndex(std::string(bytes)); });
-    refusesOrReads([&] { net::parseVmList(std::string(bytes)); });
+    readOrReject([&] { net::parsePublishedIndex(std::string(bytes)); });
+    readOrReject([&] { net::parseVmList(std::string(bytes)); });
 }
 
 void fuzzRawHeader(std::string_view bytes)
--- a/src/testing/backend.cpp
+++ b/src/testing/backend.cpp
@@ -72,14 +72,14 @@
     return sodium_bin2hex(hex.data(), hex.size(), digest.data(), digest.size());
 }
 
-Response plain(const Request &request, http::status status, const json &body)
+Response statusResponse(const Request &request, http::status status, const json &body)
 {
     return jsonResponse(request, static_cast<unsigned>(status), body);
 }
 
 Response shedResponse(const Request &request)
 {
-    Response response = plain(request, http::status::service_unavailable, {{"shed", true}});
+    Response response = statusResponse(request, http::status::service_unavailable, {{"shed", true}});
     response.set(http::field::retry_after, "1");
     return response;
 }
@@ -140,10 +140,10 @@
     co_await waitWhilePaused();
     const std::string path = targetOf(request).path;
     if (path == "/health") {
-        co_return plain(request, http::status::ok, {{"status", "ok"}});
+        co_return statusResponse(request, http::status::ok, {{"status", "ok"}});
     }
     if (path == "/load") {
-        co_return plain(request, http::status::ok, load());
+        co_return statusResponse(request, http::status::ok, load());
     }
     co_return co_await work(stream, request);
 }
@@ -171,15 +171,15 @@
 BackendStandIn::Answer BackendStandIn::workWithSlot(Stream &stream, const Request &request)
 {
     const FaultKind fault = faultNow();
-    const bool strikes = draw(m_fault.ratio);
-    const bool strikesEarly = draw(0.5);
-    const bool fails = fault == FaultKind::HalfAlive || (fault == FaultKind::Errors && strikes);
-    const bool hangs = fault == FaultKind::Hang && strikes;
-    const bool failsEarly = fails && (strikesEarly || fault == FaultKind::HalfAlive);
+    const bool faultApplies = draw(m_fault.ratio);
+    const bool appliesEarly = draw(0.5);
+    const bool fails = fault == FaultKind::HalfAlive || (fault == FaultKind::Errors && faultApplies);
+    const bool hangs = fault == FaultKind::Hang && faultApplies;
+    const bool failsEarly = fails && (appliesEarly || fault == FaultKind::HalfAlive);
     if (failsEarly) {
-        co_return plain(request, http::status::internal_server_error, {{"error", "fault"}});
+        co_return statusResponse(request, http::status::internal_server_error, {{"error", "fault"}});
     }
-    if (hangs && strikesEarly) {
+    if (hangs && appliesEarly) {
         co_await hang(stream);
         co_return std::nullopt;
     }
@@ -196,10 +196,10 @@
         co_return std::nullopt;
     }
     if (fails) {
-        co_return plain(request, http::status::internal_server_error, {{"error", "fault after the action"}});
+        co_return statusResponse(request, http::status::internal_server_error, {{"error", "fault after the action"}});
     }
     Response response = echo(request);
-    if (fault == FaultKind::Partial && strikes) {
+    if (fault == FaultKind::Partial && faultApplies) {
         co_await writeHalf(stream, std::move(response));
         co_return std::nullopt;
     }
@@ -321,17 +321,17 @@
         response.prepare_payload();
         return response;
     }
-    return plain(request,
-                 http::status::ok,
-                 {{"server", port()},
-                  {"requestId", header(request, "Papayastep-Request-Id")},
-                  {"workspace", header(request, "Papayastep-Workspace")},
-                  {"echo",
-                   {{"method", std::string(request.method_string())},
-                    {"path", std::string(request.target())},
-                    {"marker", header(request, "X-Marker")},
-                    {"action", actionId(request)},
-                    {"bytes", request.body().size()}}}});
+    return statusResponse(request,
+                          http::status::ok,
+                          {{"server", port()},
+                           {"requestId", header(request, "Papayastep-Request-Id")},
+                           {"workspace", header(request, "Papayastep-Workspace")},
+                           {"echo",
+                            {{"method", std::string(request.method_string())},
+                             {"path", std::string(request.target())},
+                             {"marker", header(request, "X-Marker")},
+                             {"action", actionId(request)},
+                             {"bytes", request.body().size()}}}});
 }
 
 json BackendStandIn::load()
@@ -362,17 +362,17 @@
     const Target target = targetOf(request);
     try {
         if (target.path == "/control/record") {
-            return plain(request, http::status::ok, server(std::stoul(target.value("port", "0"))).record());
+            return statusResponse(request, http::status::ok, server(std::stoul(target.value("port", "0"))).record());
         }
         if (target.path == "/control/arrivals") {
-            return plain(request, http::status::ok, server(std::stoul(target.value("port", "0"))).arrivals());
+            return statusResponse(request, http::status::ok, server(std::stoul(target.value("port", "0"))).arrivals());
         }
         const json body = json::parse(request.body());
         if (target.path == "/control/keys") {
             for (const auto &standIn : m_servers) {
                 standIn->watchForKeys(body.at("keys").get<std::vector<std::string>>());
             }
-            return plain(request, http::status::ok, json::object());
+            return statusResponse(request, http::status::ok, json::object());
         }
         if (target.path == "/control/fault") {
             const Fault standard;
@@ -381,12 +381,12 @@
                            body.value("factor", standard.factor),
                            body.value("ratio", standard.ratio),
                            body.value("period", standard.period)});
-            return plain(request, http::status::ok, json::object());
+            return statusResponse(request, http::status::ok, json::object());
         }
     } catch (const std::exception &error) {
-        return plain(request, http::status::bad_request, {{"error", error.what()}});
+        return statusResponse(request, http::status::bad_request, {{"error", error.what()}});
     }
-    return plain(request, http::status::not_found, {{"error", "unknown control path"}});
+    return statusResponse(request, http::status::not_found, {{"error", "unknown control path"}});
 }
 
 BackendStandIn &BackendFleet::server(std::uint16_t port)
