--- a/src/fuzz/targets.cpp
+++ b/src/fuzz/targets.cpp
@@ -22,9 +22,9 @@
 
 const std::string secret = "a fleet secret of fuzzing";
 
-/// Calls `read`; a refusal by base::Error is a good end.
+/// Calls `read` and accepts base::Error, with which it rejects malformed input.
 template<typename Reader>
-void refusesOrReads(Reader read)
+void readOrReject(Reader read)
 {
     try {
         read();
@@ -40,7 +40,7 @@
     return bytes;
 }
 
-/// The header of a hop with a good tag around any payload, so that its decoder is reached.
+/// Returns a hop header with a valid tag for any payload, so that the input reaches the decoder of the payload.
 std::string hopHeader(std::string_view payload, std::string_view context)
 {
     constexpr int variant = sodium_base64_VARIANT_URLSAFE_NO_PADDING;
@@ -55,7 +55,7 @@
 template<typename... Values>
 void decodeEach(std::string_view payload)
 {
-    (refusesOrReads([&] { wire::decode<Values>(payload); }), ...);
+    (readOrReject([&] { wire::decode<Values>(payload); }), ...);
 }
 
 void decodeEveryKind(std::string_view payload)
@@ -83,31 +83,31 @@
 void fuzzHop(std::string_view bytes)
 {
     static const wire::HopCodec codec(secret);
-    refusesOrReads([&] { codec.openRequest(bytes, "GET", "/", ""); });
-    refusesOrReads([&] { codec.openReply(bytes); });
-    refusesOrReads([&] { codec.openRequest(hopHeader(bytes, "GET /\n"), "GET", "/", ""); });
-    refusesOrReads([&] { codec.openReply(hopHeader(bytes, "reply")); });
+    readOrReject([&] { codec.openRequest(bytes, "GET", "/", ""); });
+    readOrReject([&] { codec.openReply(bytes); });
+    readOrReject([&] { codec.openRequest(hopHeader(bytes, "GET /\n"), "GET", "/", ""); });
+    readOrReject([&] { codec.openReply(hopHeader(bytes, "reply")); });
 }
 
 void fuzzPeer(std::string_view bytes)
 {
     static const wire::EnvelopeCodec codec(secret);
-    refusesOrReads([&] { codec.open(bytes); });
-    refusesOrReads([&] { codec.open(withTag(std::string(bytes), "envelope", {bytes})); });
+    readOrReject([&] { codec.open(bytes); });
+    readOrReject([&] { codec.open(withTag(std::string(bytes), "envelope", {bytes})); });
     decodeEveryKind(bytes);
 }
 
 void fuzzPlatform(std::string_view bytes)
 {
-    refusesOrReads([&] { net::parsePublishedIndex(std::string(bytes)); });
-    refusesOrReads([&] { net::parseVmList(std::string(bytes)); });
+    readOrReject([&] { net::parsePublishedIndex(std::string(bytes)); });
+    readOrReject([&] { net::parseVmList(std::string(bytes)); });
 }
 
 void fuzzRawHeader(std::string_view bytes)
 {
     const bool accepted = net::checkRawHeader(bytes) == base::ResultCode::Ok;
     if (accepted && bytes.find('\0') != std::string_view::npos) {
-        throw std::logic_error("a NUL was accepted");
+        throw std::logic_error("accepted header block contains a NUL byte");
     }
 }
 
