--- a/scripts/lab/fleet.py
+++ b/scripts/lab/fleet.py
@@ -276,9 +276,11 @@
         self._wait_until_served()
 
     def _wait_until_served(self):
-        """Waits until calls are served. Token shares start empty (a restarted holder cannot know what it granted before),
-        so the first calls of a workspace are refused with a wait. Runs begin after that, except those that test the
-        start itself."""
+        """Waits until calls are served.
+
+        Token shares start empty (a restarted holder cannot know what it granted before), so the first calls of a
+        workspace are refused with a wait. Runs begin after that, except those that test the start itself.
+        """
         path = self.configuration.lookup_path()
         node = next(iter(self.nodes))
         for workspace, key in self.configuration.keys.items():
--- a/scripts/lab/history.py
+++ b/scripts/lab/history.py
@@ -128,8 +128,8 @@
 
 
 def answers_forgotten(history):
-    """Yields repeats with an Idempotency-Key that were sent after the caller had the answer, and reported as
-    unknown. Valid for runs in which no node loses its state and no link fails."""
+    """Yields repeats with an Idempotency-Key that were sent after the caller had the answer and that are told
+    that the outcome may be unknown. Valid for runs in which no node loses its state and no link fails."""
     answered = {}
     for attempt in history.attempts:
         if attempt["idempotency_key"] and attempt["status"] == 200:
--- a/testsuite/descriptor-shortage/run.py
+++ b/testsuite/descriptor-shortage/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""A node that may open few files, and callers that open more connections than it can hold."""
+"""A node with a low limit of file descriptors, and callers that open more connections than it can hold."""
 import socket
 import unittest
 
@@ -9,7 +9,7 @@
 
 DESCRIPTORS = 128
 CONNECTIONS = 3 * DESCRIPTORS
-PATIENCE = 5  # Seconds within which a connection that is not served must be closed.
+PATIENCE = 5  # Time limit in seconds for closing a connection that is not served.
 CPU_SECONDS_WHILE_FULL = 1.0
 
 
@@ -29,7 +29,7 @@
         return http.call_with_key(self.fleet.caller_port(name), key, "GET", self.fleet.configuration.lookup_path())
 
     def connect(self):
-        """An open connection on which a caller has asked, and may ask again."""
+        """Returns an open connection on which a caller has sent a request and can send more."""
         caller = socket.create_connection(("127.0.0.1", self.fleet.caller_port(self.name)), timeout=PATIENCE)
         self.addCleanup(caller.close)
         configuration = self.fleet.configuration
@@ -39,15 +39,16 @@
 
     @staticmethod
     def is_answered(caller):
-        """Whether the node answers; false when it closes the connection. Raises TimeoutError if it does neither."""
+        """Returns whether the node answers, false if it closes the connection. Raises TimeoutError otherwise."""
         try:
             return caller.recv(4096).startswith(b"HTTP/1.1 ")
         except ConnectionError:
             return False
 
-    # A burst of callers, or callers that never close, take every file descriptor of a node. New connections hung in its
-    # queue without a word, its hops and its watch of the platform failed, and the servers behind them were taken for
-    # sick. Now callers get a part of the descriptors, and who finds none is closed at once and goes to another node.
+    # A burst of callers, or callers that never close, use up the file descriptors of a node. Without a limit, new
+    # connections wait in its queue without an answer, its hops and its watch of the platform fail, and the servers
+    # behind them are treated as unhealthy. Callers therefore get only a part of the descriptors; a connection beyond
+    # it is closed at once, so that its caller can use another node.
     def test_connections_beyondTheLimit_areClosedAtOnceAndTheNodeGoesOn(self):
         before = self.node.cpu_seconds()
         callers = [self.connect() for _ in range(CONNECTIONS)]
@@ -55,7 +56,7 @@
         self.assertGreater(answered, 0)
         self.assertLess(answered, DESCRIPTORS)
         self.assertIn("Refused a connection. code=3018", self.node.log())
-        # Its own side has descriptors left: hops of others, its pages, its peers and the platform.
+        # Descriptors remain for internal use: hops from other nodes, admin pages, peers and the platform.
         self.assertTrue(self.fleet.is_ready(self.name))
         self.assertEqual([self.lookup(self.other).status for _ in range(20)], 20 * [200])
         self.fleet.publish(self.fleet.configuration)
--- a/testsuite/explained-failure/run.py
+++ b/testsuite/explained-failure/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""`papayastep trace` tells from the nodes' logs why a request failed."""
+"""`papayastep trace` explains from the nodes' logs why a request failed."""
 import json
 import subprocess
 import threading
@@ -21,18 +21,18 @@
         self.names = list(self.fleet.nodes)
 
     def trace(self, request):
-        """What the command prints of a request, by all nodes' logs."""
+        """Returns the output of the command for a request, from all nodes' logs."""
         logs = [node.log_path for node in self.fleet.nodes.values()]
         return subprocess.run([program("papayastep"), "trace", request, *logs], capture_output=True, text=True,
                               timeout=20, check=False).stdout
 
     def ended_trace(self, request):
-        """The same, once the nodes have written the request's last line: they gather lines for half a second."""
+        """Returns trace() once the request's last line is logged. Nodes buffer log lines for half a second."""
         wait_until(lambda: "Answered a request." in self.trace(request), 10, "the end of the request in the logs")
         return self.trace(request)
 
-    # The server that a refund met answers with an error. The caller asks whether that was the server or the fleet, and
-    # why it was not tried again.
+    # The server of a refund answers with an error. The trace must show whether the server or the fleet failed, and why
+    # the refund was not retried.
     def test_refund_answeredWithAnError_isExplainedByItsServer(self):
         for server in self.fleet.configuration.servers:
             self.fleet.server_fault(server["id"], "errors")
@@ -43,8 +43,8 @@
         self.assertRegex(told, "A backend server failed.*how=error")
         self.assertRegex(told, "Decided after an attempt.*event=server-error.*The request may not run twice")
 
-    # The node that the caller spoke with is killed while the lookup is at work. Nobody can log that; the trace must say
-    # that there is no end, and that the node started again.
+    # The entry node of a lookup is killed while the lookup runs. No node can log that; the trace must report that no
+    # end is logged and that the node restarted.
     def test_lookup_whoseEntryIsKilled_isExplainedByItsNextStart(self):
         entry = self.fleet.nodes[self.names[0]]
 
--- a/testsuite/graceful-stop/run.py
+++ b/testsuite/graceful-stop/run.py
@@ -17,7 +17,7 @@
         return sum(record["started"] for record in fleet.server_records().values())
 
     def test_node_stoppedWithRequestsInFlight_answersThemAllAndEnds(self):
-        # A VM is taken away while clerks wait for refunds that run on its server and on others.
+        # A VM is removed while callers wait for refunds that run on its server and on others.
         with Fleet(backends=["--service-time-ms", SERVICE_MS, "--sigma", 0]) as fleet:
             answers = []
             before = self.started(fleet)
@@ -42,7 +42,8 @@
             self.assertNotEqual(after.server, "counter-2")
 
     def test_node_stoppedWithLittlePatience_answersOpenRequestsAsUnknown(self):
-        # Refunds take longer than the stop waits. A connection that closes without an answer leaves each clerk in doubt.
+        # Refunds take longer than the stop waits. If a connection closes without an answer, its caller does not know
+        # the outcome.
         settings = {"announceFirstMs": 100, "drainTimeoutMs": 300}
         with Fleet(backends=["--service-time-ms", SERVICE_MS, "--sigma", 0], settings=settings) as fleet:
             answers = []
--- a/testsuite/hang-without-alternative/run.py
+++ b/testsuite/hang-without-alternative/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Lookups whose server seems to hang, while no other server could take them."""
+"""Lookups whose server seems to hang while no other server is available."""
 import unittest
 from concurrent.futures import ThreadPoolExecutor
 
@@ -8,13 +8,13 @@
 from lab.fleet import Fleet
 
 WARMING_CALLS = 40
-SLOWER = 75  # Times the service time of 8 ms: three times what makes a run overdue.
-TOGETHER = 5  # The second and third overdue run leave hardly a doubt that the server hangs.
+SLOWER = 75  # Factor on the service time of 8 ms: three times the time after which a run is overdue.
+TOGETHER = 5  # Concurrent lookups; a second and third overdue run make a hang of the server almost certain.
 
 
 class HangWithoutAlternativeTest(unittest.TestCase):
-    # The only server of a service answers, but far later than usual. A node that cuts lookups off to run them elsewhere
-    # finds nobody, and callers are told that the outcome is unknown though their answers were on the way.
+    # The only server of a service answers far later than usual. If a node cancels lookups to run them elsewhere, it
+    # finds no other server, and callers get an unknown outcome although their answers were on the way.
     def test_lookups_slowAtTheOnlyServer_areAwaited(self):
         with Fleet(lambda block: generated(block, vms=1), backends=["--service-time-ms", 8]) as fleet:
             key = fleet.configuration.keys["shops"]
--- a/testsuite/history-checker/run.py
+++ b/testsuite/history-checker/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""The history checker itself: a clean history passes, and each planted violation is caught by its rule alone."""
+"""The history checker: a correct history passes, and each injected violation is reported by its own rule only."""
 import unittest
 
 from lab.history import CLIENT_TIMEOUT, History, Withdrawal, answers_forgotten, check
@@ -36,7 +36,8 @@
         self.expect(History(attempts=[attempt(), refused(request_id="r-repeat")], actions=[action()]))
 
     def test_answersForgotten_ofARepeatToldToWaitAfterTheAnswer_findsIt(self):
-        # The repeat overtook the report that the first run had ended. A repeat sent before the answer may be told so.
+        # The repeat arrived before the report that the first run had ended. A repeat sent before the answer may be told
+        # that the first run has not ended.
         first = attempt(idempotency_key=True)
         early = attempt(idempotency_key=True, status=409, outcome="unknown", sent=100.05, code="3022")
         late = attempt(idempotency_key=True, status=409, outcome="unknown", sent=100.2, code="3022")
@@ -44,7 +45,7 @@
         self.assertEqual(found, ["answers_forgotten"])
 
     def test_check_ofAnActionRunOnTwoServers_findsTheDuplicate(self):
-        # The first node fell silent after the refund was paid, the caller repeated it, and it was paid again.
+        # The first node stopped responding after the refund was paid, the caller repeated it, and it was paid again.
         self.expect(History(attempts=[attempt(status=0), attempt(request_id="r-2")],
                             actions=[action(), action(server="counter-2", requestId="r-2")]), "duplicate_actions")
 
@@ -53,7 +54,7 @@
         self.expect(History(attempts=[attempt()], actions=[action(), action(server="counter-2")]), "duplicate_actions")
 
     def test_check_ofARefusalWhoseActionRan_findsTheFalseNotRun(self):
-        # The caller was told that nothing ran and booked elsewhere; the slot was booked all the same.
+        # The caller was told that nothing ran and booked elsewhere, although the slot was booked.
         self.expect(History(attempts=[refused()], actions=[action()]), "false_not_run")
 
     def test_check_ofARefusalWithoutRequestIdWhoseActionRan_findsTheFalseNotRun(self):
@@ -66,7 +67,7 @@
         self.expect(History(attempts=[attempt(method="GET", whole=False)], actions=[]), "crossed_or_partial_answers")
 
     def test_check_ofAnotherRequestsAnswer_findsIt(self):
-        # An answer that came late was left on a connection and went to the next request on it.
+        # A late answer remained on a connection and was delivered to the next request on it.
         self.expect(History(attempts=[attempt(method="GET", own=False)], actions=[]), "crossed_or_partial_answers")
 
     def test_check_ofAnAnswerForAnotherWorkspace_findsTheMixup(self):
@@ -79,7 +80,7 @@
         self.expect(History(attempts=[], actions=[], keys_seen=1), "keys_seen")
 
     def test_check_ofANodeThatWentBackARevision_findsIt(self):
-        # The platform came back stale and the node took the older configuration from it.
+        # The platform returned stale data, and the node applied the older configuration.
         self.expect(History(attempts=[], actions=[], revisions=[(1, "vm-1", 3), (2, "vm-1", 2), (3, "vm-1", 3)]),
                     "reverted_revisions")
 
@@ -91,11 +92,11 @@
                             withdrawals=[Withdrawal("shops", 100, 5)]), "withdrawn_keys_working")
 
     def test_check_ofAnAcceptedActionThatNeverRan_findsItLost(self):
-        # The family got a confirmation, and nobody waits for them at the appointment.
+        # The caller received a confirmation for a booking that no backend server ran.
         self.expect(History(attempts=[attempt()], actions=[]), "lost_accepted_actions")
 
     def test_check_ofACallWithoutAnyAnswer_findsItHanging(self):
-        # The entry kept asking whether an attempt had started, and forgot the deadline; the till stood still.
+        # The entry kept asking whether an attempt had started and ignored the deadline, so the caller was blocked.
         self.expect(History(attempts=[attempt(method="GET", status=0, error=CLIENT_TIMEOUT)], actions=[]),
                     "hanging_calls")
 
--- a/testsuite/history-under-faults/run.py
+++ b/testsuite/history-under-faults/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Short histories with fixed seeds under faults in pairs. Longer ones: scripts/measure at-most-once --seeds N."""
+"""Short histories with fixed seeds under pairs of faults. Longer runs: scripts/measure at-most-once --seeds N."""
 import unittest
 
 from lab.cases import histories
--- a/testsuite/hop-from-outsider/run.py
+++ b/testsuite/hop-from-outsider/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""A stranger who reaches the ports between nodes must not get a request to a backend server, nor tokens."""
+"""An outsider who reaches the ports between nodes must not get a request to a backend server, nor tokens."""
 import socket
 import unittest
 
@@ -29,7 +29,7 @@
         return http.call(self.fleet.vm("vm-01")["hopPort"], "POST", "/refunds", "{}", headers, timeout=3)
 
     def test_hopRequest_withoutAuthentication_isRefusedAndReachesNoServer(self):
-        # The hop port takes requests as already checked; a caller who reaches it would pass key, rate and route.
+        # The hop port accepts requests as already checked; a caller that reaches it would bypass key, rate and route.
         for name, headers in {"none": {}, "forged": FORGED,
                               "key": {"Authorization": f"Bearer {self.fleet.configuration.keys['shops']}"}}.items():
             with self.subTest(name):
@@ -40,7 +40,7 @@
                 self.assertEqual(self.started(), before)
 
     def test_peerPort_givenNoise_leavesTheNodeServing(self):
-        # Bytes of a scanner, or of an old program on a reused address.
+        # Bytes sent by a port scanner, or by an old program on a reused address.
         for noise in (b"GET / HTTP/1.1\r\n\r\n", b"\0SP\0\0\x50\0\0" + 64 * b"\xff", 4096 * b"\xff"):
             with socket.create_connection(("127.0.0.1", self.fleet.vm("vm-01")["peerPort"]), timeout=3) as stranger:
                 stranger.sendall(noise)
--- a/testsuite/lookup-and-refund/run.py
+++ b/testsuite/lookup-and-refund/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""The whole path: a lookup and a refund through every node, and the refusals that need no fault."""
+"""The whole request path: a lookup and a refund through every node, and the refusals that occur without a fault."""
 import json
 import unittest
 
--- a/testsuite/metrics/run.py
+++ b/testsuite/metrics/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Each family of metrics shows what was done, on the admin address, without workspaces, keys or requests in a label."""
+"""Each metric family on the admin address counts its events, with no workspace, key or request in a label."""
 import json
 import os
 import re
@@ -24,7 +24,7 @@
         return http.call_with_key(self.fleet.caller_port(self.names[node]), key, method, path, body)
 
     def total(self, family, node=None, **labels):
-        """The sum of a family's samples that carry these labels, of one node or of all."""
+        """Returns the sum of a family's samples with these labels, of one node or of all."""
         wanted = [f'{name}="{value}"' for name, value in labels.items()]
         names = [self.names[node]] if node is not None else self.names
         return sum(value for name in names for sample, value in self.fleet.metrics(name).items()
@@ -88,7 +88,7 @@
             good = file.read()
         for text, result in ((good.replace("{", '{"drainTimeoutMs": 9000,', 1), "taken"), ("{", "kept")):
             with self.subTest(result=result):
-                # Put in place whole: a node that reads half a file rightly counts that one, too.
+                # Replaced atomically: a node that reads a partial file correctly counts that file, too.
                 with open(path + ".new", "w", encoding="utf-8") as file:
                     file.write(text)
                 os.replace(path + ".new", path)
--- a/testsuite/no-names-of-deployments/run.py
+++ b/testsuite/no-names-of-deployments/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Product code names no deployment, service, workspace or day that it was measured with."""
+"""Product code contains no name of a deployment, service, workspace or day of the measurements."""
 import os
 import re
 import subprocess
@@ -8,7 +8,7 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 WORDS = os.path.join(os.path.dirname(os.path.abspath(__file__)), "words.txt")
 
-# Rigs of tests and measures carry the examples of the users; they are not shipped.
+# Code of tests and measurements contains the users' examples; it is not shipped.
 NOT_SHIPPED = re.compile(r"_test\.cpp$|measure\.cpp$|^src/(testing|fuzz)/|/(baselines|faultplan|fleetbus|testfleet)\.|"
                          r"/syntheticfleet\.")
 
@@ -26,7 +26,7 @@
 
 class NamesOfDeploymentsTest(unittest.TestCase):
     def test_productCode_ofAnyPackage_namesNoDeployment(self):
-        # A decision that depends on a name seen in a measurement serves that deployment and fails the next one.
+        # A decision that depends on a name from a measurement works for that deployment and fails for the next one.
         pattern = re.compile("|".join(rf"\b{re.escape(word)}\b" for word in words()), re.IGNORECASE)
         found = []
         for path in product_files():
@@ -36,7 +36,7 @@
         self.assertEqual(found, [])
 
     def test_productFiles_inACheckout_areFound(self):
-        # Without files to look at the other case would pass whatever the code says.
+        # With no files to check, the other test would pass for any code.
         self.assertGreater(len(product_files()), 200)
 
 
--- a/testsuite/one-way-break/run.py
+++ b/testsuite/one-way-break/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""A link breaks in one direction: connections stay open and one side hears nothing. Lookups go elsewhere."""
+"""A link fails in one direction: connections stay open and one side receives nothing. Lookups run elsewhere."""
 import unittest
 
 from lab import ports
@@ -12,7 +12,7 @@
 
 class OneWayBreakTest(unittest.TestCase):
     def run_with_broken_hop(self, direction):
-        """Calls through two nodes while the hops to the third lose all bytes of one direction."""
+        """Runs calls through two nodes while the hops to the third lose all bytes of one direction."""
         with Fleet(lambda block: generated(block, deadline="3s"), proxied=True) as fleet:
             fleet.link_fault(ports.HOP_LINK, 2, drop=direction)
             load = fleet.load([fleet.stream("shops", 40), fleet.stream("vans", 20, "POST", "/refunds")], SECONDS,
@@ -28,11 +28,11 @@
         self.assertEqual({attempt["status"] for attempt in lookups}, {200})
 
     def test_lookups_whenRequestsToAVmAreLost_areAllAnswered(self):
-        # The entry believes that its hop was sent. No server is sick, and none may be ejected for all.
+        # From the entry's view the hop was sent. No server is unhealthy, and none may be ejected for all nodes.
         self.assert_callers_served(self.run_with_broken_hop("to-target"))
 
     def test_lookups_whenAnswersOfAVmAreLost_areAllAnswered(self):
-        # The serving node runs the refund, and its answer never comes: the entry must not run it again.
+        # The serving node runs the refund and its answer is lost. The entry must not run it again.
         self.assert_callers_served(self.run_with_broken_hop("to-caller"))
 
 
--- a/testsuite/operators-platform/run.py
+++ b/testsuite/operators-platform/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Two nodes on the operators' platform, with a stand-in of its store and of a backend server beside each."""
+"""Two nodes on the operators' platform, with stand-ins for its store and for the backend server beside each node."""
 import http.client
 import json
 import os
@@ -90,7 +90,7 @@
         self.assertEqual(self.call(ADDRESSES[0], "GET", "/lookups", Api_Key=KEY)[0], 404)
         self.assertEqual(self.call(ADDRESSES[0], "GET", "/prices/1")[0], 200)
 
-    # All servers are full and say so. The caller must hear that nothing ran, and when to come back.
+    # All servers report that they are full. The caller must be told that nothing ran, and when to retry.
     def test_refund_shedByEveryServer_isToldNotRun(self):
         for server in self.servers:
             server.sheds = True
@@ -99,7 +99,7 @@
         self.assertGreater(float(headers["Retry-After"]), 0)
         self.assertEqual([server.requests for server in self.servers], [[], []])
 
-    # The platform is away: what was known goes on to hold, and a server that left meanwhile is found out.
+    # The platform is unavailable: the last known state stays valid, and a server that left meanwhile is detected.
     def test_platformAway_goesOnServing(self):
         self.store.away = True
         for address in ADDRESSES:
--- a/testsuite/operators-platform/store.py
+++ b/testsuite/operators-platform/store.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the operators' platform: its store and its backend servers, in threads of the test's own process."""
+"""Stand-ins for the operators' platform: its store and its backend servers, in threads of the test process."""
 import base64
 import json
 import threading
@@ -25,7 +25,7 @@
     daemon_threads = True
 
     def handle_error(self, request, client_address):
-        """A node that stops closes its connections; that is no error of the stand-in."""
+        """Ignores errors: a node that stops closes its connections, which is no error of the stand-in."""
 
 
 def _serve(address, port, handler):
@@ -35,7 +35,7 @@
 
 
 class Store:
-    """Items under one rising revision, with listing and watching."""
+    """A store of items under one increasing revision, which can be listed and watched."""
 
     def __init__(self, address, port):
         self.changed = threading.Condition()
@@ -90,7 +90,7 @@
 
 
 class BackendServer:
-    """Answers with its proof, and remembers the requests that it ran."""
+    """A backend server that answers with its proof and records the requests that it ran."""
 
     def __init__(self, server_id, address, port):
         self.id = server_id
@@ -131,7 +131,7 @@
 
 
 def configuration(version, keys):
-    """One lookup route and one refund route of the service counter, and one workspace."""
+    """Returns a configuration with a lookup route and a refund route of the service counter, and one workspace."""
     def route(name, prefix, kind, **more):
         spec = {"host": "shop.example", "prefix": prefix, "kind": kind, "timeout_s": 2, "target_latency_s": 1,
                 "priority": 1, "max_attempts": 2, "service": "counter", **more}
--- a/testsuite/platform-away/run.py
+++ b/testsuite/platform-away/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""The configuration source is away for hours, or comes back stale: the fleet serves on, and nothing reverts."""
+"""The configuration source is unavailable for hours or returns stale data: the fleet serves on and does not revert."""
 import unittest
 
 from lab import http
@@ -20,7 +20,7 @@
         wait_until(lambda: self.fleet.status(name)["revision"] == revision, 10, f"{name} to hold {revision}")
 
     def test_node_restartedWhileThePlatformIsAway_startsFromItsPeers(self):
-        # A VM is replaced while the platform is down. Without its peers it would have no configuration and its
+        # A VM is replaced while the platform is down. If its node did not load the configuration from its peers, its
         # callers would be refused until the platform is back.
         self.fleet.publish(self.fleet.configuration.copy())
         for name in self.fleet.nodes:
@@ -32,7 +32,7 @@
         self.assertEqual(self.lookup("vm-02").status, 200)
 
     def test_fleet_whenThePlatformIsStale_keepsTheNewerRevision(self):
-        # One replica of the platform lags and offers the first revision again, in which a withdrawn key still stands.
+        # One replica of the platform lags and offers the first revision again, which still has a withdrawn key.
         self.fleet.publish(self.fleet.configuration.copy())
         for name in self.fleet.nodes:
             self.wait_for_revision(name, 2)
@@ -44,7 +44,7 @@
         self.assertEqual(self.lookup("vm-03").status, 200)
 
     def test_publishedRevision_thatIsInvalid_leavesTheFleetAsItIs(self):
-        # An operator publishes a broken file: callers must not notice.
+        # An operator publishes an invalid file. Callers must not be affected.
         broken = self.fleet.configuration.copy()
         broken.routes[0]["service"] = "no-such-service"
         valid = self.fleet.configuration.copy()
--- a/testsuite/repeat-with-idempotency-key/run.py
+++ b/testsuite/repeat-with-idempotency-key/run.py
@@ -25,7 +25,7 @@
 
 class RepeatTest(RefundTest):
     def test_refund_repeatedThroughOtherNodes_isAnsweredFromTheFirstRun(self):
-        # The clerk's connection broke after the refund was paid; the till tries the next address it knows.
+        # The caller's connection broke after the refund was paid, and the caller retries at the next known address.
         answers = [self.refund(node, "till-1") for node in self.fleet.nodes]
         self.assertEqual([answer.status for answer in answers], 3 * [200])
         self.assertEqual(len({answer.body for answer in answers}), 1)
@@ -43,14 +43,15 @@
         self.assertIn(200, [answer.status for answer in answers])
 
     def test_key_usedAgainForAnotherRefund_isRefused(self):
-        # A till that counts its keys from one after each start would have the second vendor's refund swallowed.
+        # If a caller restarts its key counter at one after each start, a different refund gets a used key and would be
+        # dropped without notice.
         self.assertEqual(self.refund("vm-01", "till-3").status, 200)
         answer = self.refund("vm-02", "till-3", action="another")
         self.assertEqual((answer.outcome, answer.code), ("not-run", "3019"))
         self.assertEqual(self.runs("another"), 0)
 
     def test_refund_whoseServerNeverAnswers_isNotRunAgain(self):
-        # Every server falls silent, before or after it paid. Nobody can know, so no repeat may run.
+        # Every server stops responding, before or after it paid. Which of them cannot be known, so no repeat may run.
         for server in self.fleet.configuration.servers:
             self.fleet.server_fault(server["id"], "hang")
         first = self.refund("vm-01", "till-4", timeout=20)
@@ -66,11 +67,11 @@
     PROXIED = True
 
     def test_refund_repeatedAtItsHomeAtOnce_isAnsweredFromTheFirstRun(self):
-        # The clerk has the answer, and the till sends the refund again at once through the node that keeps the key's
-        # record. Messages between nodes take long, so the repeat is there before the report that the first one ended.
+        # The caller has the answer and immediately repeats the refund through the node that holds the key's record.
+        # Messages between nodes are slow, so the repeat arrives before the report that the first run ended.
         for index in range(len(self.fleet.nodes)):
             self.fleet.link_fault(ports.PEER_LINK, index, delayMs=100)
-        for number in range(8):  # Each node is home of some of these keys.
+        for number in range(8):  # Each node holds the records of some of these keys.
             with self.subTest(key=number):
                 answers = [self.refund(node, f"late-{number}", f"late-{number}") for node in self.fleet.nodes]
                 self.assertEqual([(answer.status, answer.code) for answer in answers], 3 * [(200, "")])
--- a/testsuite/restart-during-cancel/run.py
+++ b/testsuite/restart-during-cancel/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""A serving node crashes with a refund at work, and its next process is asked what became of it."""
+"""A serving node crashes with a refund in progress, and its next process is asked for the refund's outcome."""
 import json
 import threading
 import unittest
@@ -13,9 +13,9 @@
 
 class RestartDuringCancelTest(unittest.TestCase):
     def test_refund_whoseServingNodeIsNewWhenAsked_runsOnce(self):
-        # The entry hears nothing of a refund that it sent to another node and asks whether it started. Meanwhile that
-        # node has crashed and come back. It knows of no such refund, which is no proof that none was paid: with "never
-        # started" the entry would have it paid again through another server.
+        # The entry receives no answer for a refund sent to another node and asks whether it started. Meanwhile that
+        # node has crashed and restarted. It has no record of the refund, which does not prove that it was not paid:
+        # after a reply "never started" the entry would have it paid again through another server.
         with Fleet(proxied=True) as fleet:
             fleet.server_fault("counter-1", "refuse")
             for index in (1, 2):
--- a/testsuite/signals-to-a-node/run.py
+++ b/testsuite/signals-to-a-node/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Signals that operators' tools send: while a node starts, and while requests are at work in it."""
+"""Signals that operators' tools send while a node starts and while it has requests in flight."""
 import json
 import signal
 import threading
@@ -14,20 +14,20 @@
 
 
 def at_settings(fleet, name):
-    """The call that opens the settings file."""
+    """Returns the system call that opens the settings file."""
     return "openat", ["-P", fleet.path(f"{name}.json")]
 
 
 def at_first_disposition(fleet, name):
-    """The first call that sets what a signal does: after the libraries' initialisation, before all else."""
+    """Returns the first call that sets a signal disposition: after the libraries' initialisation, before all else."""
     return "rt_sigaction", []
 
 
 def signalled_at_start(fleet, name, number, moment=at_settings):
-    """Starts a stopped node anew such that it gets the signal from inside a certain system call.
+    """Restarts a stopped node so that it receives the signal during a given system call.
 
     strace sends the signal from inside that call, so the moment is the same on a fast and on a slow machine. With -D
-    the node stays our own child, and its process id and exit status are the node's.
+    the node remains a child of this process, and its process id and exit status are the node's.
     """
     call, path = moment(fleet, name)
     tracing = ["strace", "-D", "-qq", "-o", fleet.path(f"{name}.strace"), *path, "-e", f"trace={call}", "-e",
@@ -44,24 +44,24 @@
         self.name = next(iter(self.fleet.nodes))
         self.assertTrue(self.fleet.nodes[self.name].stop())
 
-    # Settings are changed everywhere while a VM restarts its node. A process that is told to reload before it has
-    # registered for the signal is ended by it, and its VM refuses connections until somebody starts it once more.
-    # The evidence: the exit status names the signal, and the trace of system calls shows no registration before it.
+    # Settings are changed on all VMs while one VM restarts its node. A process that receives the reload signal before
+    # it has registered for it is ended by it, and its VM refuses connections until an operator restarts the node.
+    # Symptom: the exit status names the signal, and the trace of system calls shows no registration before it.
     def test_reload_whileSettingsAreRead_isTaken(self):
         node = signalled_at_start(self.fleet, self.name, signal.SIGHUP)
         self.fleet.wait_serving(self.name)
         self.assertTrue(node.is_running())
         self.assertIn("Asked to reload.", node.log())
 
-    # The same before any line of the node's own has run; the libraries' initialisation alone takes milliseconds.
+    # The same before any code of the node has run; the libraries' initialisation alone takes milliseconds.
     def test_reload_beforeTheFirstDisposition_isTaken(self):
         node = signalled_at_start(self.fleet, self.name, signal.SIGHUP, at_first_disposition)
         self.fleet.wait_serving(self.name)
         self.assertTrue(node.is_running())
         self.assertIn("Asked to reload.", node.log())
 
-    # An operator takes a start back at once. The process must end as after any planned stop, not as one that crashed,
-    # or whoever watches over it raises an alarm and starts it again.
+    # An operator stops a node directly after its start. The process must end as after any planned stop, not as after a
+    # crash, or its supervisor raises an alarm and restarts it.
     def test_stop_whileSettingsAreRead_endsAsPlanned(self):
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGQUIT):
             with self.subTest(signal=signal.Signals(number).name):
@@ -89,14 +89,14 @@
         return sum(record["started"] for record in self.fleet.server_records().values())
 
     def expect_all_answered(self, numbers, reaction):
-        """Sends the signals to every node while each is the entry of a refund that is at work at a server."""
+        """Sends the signals to every node while each is the entry of a refund that is running at a server."""
         before = self.started()
         count = len(self.names)
         refunds = [threading.Thread(target=self.refund, args=(number,)) for number in range(count)]
         for refund in refunds:
             refund.start()
         wait_until(lambda: self.started() == before + count, 10, "every refund to be in flight")
-        self.assertEqual(self.answers, [])  # Each is at work while the signals come.
+        self.assertEqual(self.answers, [])  # Every refund is in flight when the signals arrive.
         for number in numbers:
             for node in self.fleet.nodes.values():
                 node.send(number)
@@ -110,8 +110,8 @@
 
     # Operators change the settings on all VMs and send SIGHUP to every node while refunds run. A process that has not
     # registered for the signal is ended by its default action: callers see their connections end without an answer in
-    # the same millisecond, the refunds run to a good end, and nobody hears of it. The evidence: the process ends with
-    # 128 plus the signal's number, whatever the load, and its log says nothing.
+    # the same millisecond, the refunds complete, and no caller receives the result. Symptom: the process ends with 128
+    # plus the signal's number, at any load, and its log has no line about it.
     def test_reload_withRefundsInFlight_answersThemAll(self):
         for name in self.names:
             path = self.fleet.path(f"{name}.json")
@@ -123,8 +123,8 @@
         for node in self.fleet.nodes.values():
             self.assertIn("Took over changed settings.", node.log())
 
-    # Tools of operators send other signals for other programs: to open log files anew, to dump a state. By default each
-    # of them ends a process at once, with its callers' requests.
+    # Operators' tools send other signals that are meant for other programs: to reopen log files, to dump state. By
+    # default each of them ends a process immediately, with its callers' requests.
     def test_signalsWithoutMeaning_withRefundsInFlight_answerThemAll(self):
         self.expect_all_answered([signal.SIGUSR1, signal.SIGUSR2, signal.SIGALRM], "Ignored a signal.")
 
--- a/testsuite/smuggling/run.py
+++ b/testsuite/smuggling/run.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Requests that two parsers could read in two ways, or that pose as the system's own, never reach a backend server."""
+"""Requests that parsers could interpret differently, or that forge internal headers, never reach a backend server."""
 import unittest
 
 from lab import http
 from lab.fleet import Fleet
 
-# Where papayastep and a backend server disagree on where a request ends, a caller can hide a second request in the
-# body of the first and have it run, for another workspace, past every check.
+# If papayastep and a backend server disagree on where a request ends, a caller can hide a second request in the body
+# of the first and have it run for another workspace without any check.
 AMBIGUOUS = {
     "both lengths": "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nX",
     "repeated length": "Content-Length: 1\r\nContent-Length: 2\r\n\r\nAB",
@@ -49,7 +49,7 @@
                 self.assertEqual(self.started(), before)
 
     def test_request_thatIsPlain_isServed(self):
-        # Without this, a node that refuses everything would pass.
+        # Without this test, a node that refuses every request would pass.
         self.assertIn(b"HTTP/1.1 200", self.send("Content-Length: 1\r\nConnection: close\r\n\r\nA"))
 
 
--- a/testsuite/soak/run.py
+++ b/testsuite/soak/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""A short part of the soak (`scripts/measure soak`), and every seed of it that ever failed."""
+"""A short part of the soak (`scripts/measure soak`), and every seed that has failed in it."""
 import json
 import os
 import unittest
--- a/testsuite/withdrawn-key/run.py
+++ b/testsuite/withdrawn-key/run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Operators withdraw a key while its caller is connected: it must stop within seconds, on live connections too."""
+"""Operators withdraw a key while its caller is connected: it must stop within seconds, also on open connections."""
 import unittest
 
 from lab import http
@@ -11,8 +11,8 @@
 
 class WithdrawnKeyTest(unittest.TestCase):
     def test_key_withdrawnOnALiveConnection_stopsEverywhereAndForGood(self):
-        # A van keeps its connection open all day. Its key is withdrawn at noon; the calls after that must not be
-        # served just because the connection was accepted in the morning.
+        # A caller keeps its connection open, and its key is withdrawn meanwhile. Calls after that must not be served
+        # just because the connection was accepted with a valid key.
         with Fleet() as fleet:
             bearer = {"Authorization": f"Bearer {fleet.configuration.keys['vans']}"}
             connections = [http.Connection(fleet.caller_port(name)) for name in fleet.nodes]
