--- a/scripts/lab/cases/cost.py
+++ b/scripts/lab/cases/cost.py
@@ -13,7 +13,7 @@
 
 
 def control_cost(options, report):
-    """Processor time, resident memory and bytes a second of an idle node at 10, 50 and 150 nodes, with slopes."""
+    """Processor time, resident memory and bytes per second of an idle node at 10, 50 and 150 nodes, with slopes."""
     seconds = options.seconds or 8
     points = {metric: [] for metric in UNITS}
     for size in SIZES:
--- a/scripts/lab/cases/gray.py
+++ b/scripts/lab/cases/gray.py
@@ -15,7 +15,7 @@
 
 
 def detection(options, report):
-    """Every gray failure in turn on real processes; --fleet and --variant choose others than Caribrite, papayastep."""
+    """Every gray failure in turn on real processes; --fleet and --variant replace caribrite and papayastep."""
     fleet_name = options.fleet or "caribrite"
     variants = [options.variant] if options.variant else ["papayastep"]
     if options.full:
--- a/scripts/lab/cases/histories.py
+++ b/scripts/lab/cases/histories.py
@@ -18,7 +18,7 @@
 
 
 def at_most_once(options, report):
-    """Histories under faults in pairs: duplicate actions, false "not run", crossed answers, workspace mixups."""
+    """Histories under pairs of faults: duplicate actions, false "not run", crossed answers, workspace mixups."""
     first, runs = options.seed, options.seeds or 5
     totals = Counter()
     for seed in range(first, first + runs):
@@ -48,7 +48,7 @@
         end = time.monotonic() + seconds
         while time.monotonic() + FAULT_SECONDS + PAUSE_SECONDS < end:
             pairs.append(tuple(generator.sample(sorted(names or faults.HISTORY), 2)))
-            _strike(fleet, generator, pairs[-1], revisions)
+            _inject_faults(fleet, generator, pairs[-1], revisions)
         withdrawal = _withdraw_key(fleet)
         attempts = load.wait()
         _note_revisions(fleet, revisions)
@@ -70,7 +70,7 @@
             fleet.stream("vans", 30, "POST", "/refunds", idempotencyKey=True, repeatAfter=1.0, repeatRatio=0.5)]
 
 
-def _strike(fleet, generator, pair, revisions):
+def _inject_faults(fleet, generator, pair, revisions):
     """Injects two faults at once, on VMs that may be the same, then pauses without faults."""
     undo = [faults.HISTORY[name](fleet, generator.randrange(NODES)) for name in pair]
     if generator.random() < 0.5:
--- a/scripts/lab/cases/limits.py
+++ b/scripts/lab/cases/limits.py
@@ -60,7 +60,7 @@
 
 
 def crowding(options, report):
-    """One workspace at five times its rate, the others at 80%: how the worst-served fares, both example sizes."""
+    """One workspace at five times its rate, the others at 80%: the worst-served workspace, both example sizes."""
     seconds = options.seconds or 8
     for name in ("caribrite", "tepla-noha"):
         for fault in ("none", "one-server-slow-tenfold"):
--- a/scripts/lab/cases/path.py
+++ b/scripts/lab/cases/path.py
@@ -9,7 +9,7 @@
 
 
 def hop_overhead(options, report):
-    """Added latency against the backend servers asked directly, paired, 200 requests a second, keep-alive."""
+    """Added latency against the backend servers asked directly, paired, 200 requests per second, keep-alive."""
     seconds = options.seconds or 20
     with Fleet(lambda block: generated(block, vms=6, slots=50, workspaces={"shops": (1000, 1000)}),
                backends=["--service-time-ms", 2, "--sigma", 0]) as fleet:
@@ -29,7 +29,7 @@
 
 
 def key_overhead(options, report):
-    """Added latency of an Idempotency-Key: refunds with and without one, paired, 50 requests a second each."""
+    """Added latency of an Idempotency-Key: refunds with and without one, paired, 50 requests per second each."""
     seconds = options.seconds or 20
     with Fleet(lambda block: generated(block, vms=6, slots=50, workspaces=PLENTY),
                backends=["--service-time-ms", 2, "--sigma", 0]) as fleet:
@@ -48,7 +48,7 @@
 
 
 def throughput(options, report):
-    """Small requests a second through one node, closed loop, and its processor time for each."""
+    """Small requests per second through one node, closed loop, and its processor time for each."""
     seconds = options.seconds or 10
     clients, connections = 2, 16
     with Fleet(lambda block: generated(block, vms=1, zones="a", slots=100, workspaces=PLENTY),
--- a/scripts/lab/cases/soak.py
+++ b/scripts/lab/cases/soak.py
@@ -21,11 +21,11 @@
 RECOVERY_SECONDS = 20.0  # A restarted node holds its shares again after about 10 s.
 REPEAT_TOO_EARLY = 409  # The first run with this Idempotency-Key has not ended.
 NOT_LISTENING = "Connection refused"  # The error text of Boost.
-PATIENCE = 15  # Time limit of a planned stop in seconds; the stop waits for requests in flight.
-HURRY = 0.3  # Time limit of a stop in seconds beside other faults; a longer one would delay the rest of the series.
+PLANNED_STOP_SECONDS = 15  # Time limit of a planned stop in seconds; the stop waits for requests in flight.
+SHORT_STOP_SECONDS = 0.3  # Time limit beside other faults; a longer one would delay the rest of the series.
 SETTLE_SECONDS = 1.5  # Load without new faults after the last event.
-PLENTY, LESS = 2000, 1000  # Requests a second of a workspace, both far above the load.
-LEAST_SERVERS = 3
+HIGH_RATE, LOW_RATE = 2000, 1000  # Requests per second of a workspace, both far above the load.
+MIN_SERVERS = 3
 LATE_SECONDS = 3.0  # A later event prolongs faults, which may explain violations.
 
 # Faults from outside the processes. Link faults are injected by a loopback proxy before each link.
@@ -170,7 +170,8 @@
         elif event.what in ("publish", "rates", "out", "in"):
             fleet.publish(_changed(fleet.configuration, event, fleet.servers))
         else:
-            _signal(fleet, list(fleet.nodes)[event.index], event.what, PATIENCE if planned else HURRY)
+            _signal(fleet, list(fleet.nodes)[event.index], event.what,
+                    PLANNED_STOP_SECONDS if planned else SHORT_STOP_SECONDS)
         _note_revisions(fleet, revisions)
     for end in undo.values():
         end()
@@ -184,22 +185,22 @@
     changed = configuration.copy()
     if event.what == "rates":
         workspace = changed.workspace("vans")
-        workspace["rate"] = PLENTY + LESS - workspace["rate"]
+        workspace["rate"] = HIGH_RATE + LOW_RATE - workspace["rate"]
     elif event.what in ("out", "in"):
         kept = {server["id"] for server in changed.servers}
         concerned = {servers[event.index]["id"]}
         kept = kept - concerned if event.what == "out" else kept | concerned
-        if len(kept) >= LEAST_SERVERS:
+        if len(kept) >= MIN_SERVERS:
             changed.servers = [server for server in servers if server["id"] in kept]
     return changed
 
 
-def _signal(fleet, name, what, patience):
+def _signal(fleet, name, what, stop_seconds):
     """Applies one step of a series. Skips a step that is not applicable because another series ended the process."""
     node = fleet.nodes[name]
     if what == "start":
         if node.is_running() and node.was_asked_to_end():
-            node.stop(patience)
+            node.stop(stop_seconds)
         if not node.is_running():
             fleet.restart(name, wait=False)
         return
--- a/scripts/lab/cases/spread.py
+++ b/scripts/lab/cases/spread.py
@@ -16,12 +16,12 @@
                  backends=["--service-time-ms", 1], seed=options.seed)
 
 
-def _last_disobeyed(attempts, published, obeys):
+def _last_old_decision(attempts, published, applies_change):
     """Returns {target: seconds from publishing to the last call that the old revision decided}."""
     last = {}
     for attempt in attempts:
         last.setdefault(attempt["target"], 0.0)
-        if not obeys(attempt) and attempt["sent"] > published:
+        if not applies_change(attempt) and attempt["sent"] > published:
             last[attempt["target"]] = max(last[attempt["target"]], attempt["sent"] - published)
     return last
 
@@ -37,7 +37,7 @@
     return watcher
 
 
-def _measure(options, change, workspace, obeys, fails):
+def _measure(options, change, workspace, applies_change, fails):
     """Publishes the configuration changed by `change` while callers of `workspace` continuously call every node."""
     seconds = options.seconds or 8
     with _fleet(options) as fleet:
@@ -51,7 +51,7 @@
         attempts = load.wait()
         if watcher:
             watcher.join(1)
-        return _last_disobeyed(attempts, published, obeys), seconds
+        return _last_old_decision(attempts, published, applies_change), seconds
 
 
 def key_withdrawal(options, report):
--- a/scripts/runtests.py
+++ b/scripts/runtests.py
@@ -1,4 +1,4 @@
-"""Runs ctest and judges it: the tests listed in KNOWN-RED.txt run and are printed, but do not fail the run."""
+"""Runs ctest and evaluates the results: failures listed in KNOWN-RED.txt are printed but do not fail the run."""
 import os
 import re
 import subprocess
@@ -6,7 +6,7 @@
 
 
 def known_red():
-    """Names of the tests that are known to fail: the first word of each line that is not a comment."""
+    """Returns {test: line} of the tests that are known to fail. The name is the first word of each non-comment line."""
     if not os.path.exists("KNOWN-RED.txt"):
         return {}
     lines = [line.strip() for line in open("KNOWN-RED.txt")]
--- a/testsuite/descriptor-shortage/run.py
+++ b/testsuite/descriptor-shortage/run.py
@@ -9,7 +9,7 @@
 
 DESCRIPTORS = 128
 CONNECTIONS = 3 * DESCRIPTORS
-PATIENCE = 5  # Time limit in seconds for closing a connection that is not served.
+CLOSE_TIMEOUT = 5  # Time limit in seconds for closing a connection that is not served.
 CPU_SECONDS_WHILE_FULL = 1.0
 
 
@@ -30,7 +30,7 @@
 
     def connect(self):
         """Returns an open connection on which a caller has sent a request and can send more."""
-        caller = socket.create_connection(("127.0.0.1", self.fleet.caller_port(self.name)), timeout=PATIENCE)
+        caller = socket.create_connection(("127.0.0.1", self.fleet.caller_port(self.name)), timeout=CLOSE_TIMEOUT)
         self.addCleanup(caller.close)
         configuration = self.fleet.configuration
         caller.sendall(f"GET {configuration.lookup_path()} HTTP/1.1\r\nHost: shop.example\r\n"
--- a/testsuite/explained-failure/run.py
+++ b/testsuite/explained-failure/run.py
@@ -39,9 +39,9 @@
         answer = http.call_with_key(self.fleet.caller_port(self.names[0]), self.key, "POST", "/refunds",
                                     json.dumps({"action": "fails"}))
         self.assertEqual(answer.status, 500)
-        told = self.ended_trace(answer.headers["papayastep-request-id"])
-        self.assertRegex(told, "A backend server failed.*how=error")
-        self.assertRegex(told, "Decided after an attempt.*event=server-error.*The request may not run twice")
+        output = self.ended_trace(answer.headers["papayastep-request-id"])
+        self.assertRegex(output, "A backend server failed.*how=error")
+        self.assertRegex(output, "Decided after an attempt.*event=server-error.*The request may not run twice")
 
     # The entry node of a lookup is killed while the lookup runs. No node can log that; the trace must report that no
     # end is logged and that the node restarted.
@@ -62,9 +62,9 @@
         entry.kill()
         caller.join()
         self.fleet.restart(self.names[0])
-        told = self.trace(request)
-        self.assertIn("No line tells how it ended", told)
-        self.assertIn("node: Started.", told)
+        output = self.trace(request)
+        self.assertIn("No line tells how it ended", output)
+        self.assertIn("node: Started.", output)
         self.assertRegex(self.trace("reached-nobody"), f"{self.names[0]} was not running between .* without a planned")
 
 
--- a/testsuite/hang-without-alternative/run.py
+++ b/testsuite/hang-without-alternative/run.py
@@ -8,8 +8,8 @@
 from lab.fleet import Fleet
 
 WARMING_CALLS = 40
-SLOWER = 75  # Factor on the service time of 8 ms: three times the time after which a run is overdue.
-TOGETHER = 5  # Concurrent lookups; a second and third overdue run make a hang of the server almost certain.
+SLOWDOWN_FACTOR = 75  # Factor on the service time of 8 ms: three times the time after which a run is overdue.
+CONCURRENT_CALLS = 5  # Concurrent lookups; a second and third overdue run make a hang of the server almost certain.
 
 
 class HangWithoutAlternativeTest(unittest.TestCase):
@@ -24,9 +24,9 @@
                 return answer.status, answer.code
 
             self.assertEqual([call(0) for _ in range(WARMING_CALLS)], [(200, "")] * WARMING_CALLS)
-            fleet.server_fault(fleet.configuration.servers[0]["id"], "slow", factor=SLOWER)
-            with ThreadPoolExecutor(TOGETHER) as callers:
-                self.assertEqual(list(callers.map(call, range(TOGETHER))), [(200, "")] * TOGETHER)
+            fleet.server_fault(fleet.configuration.servers[0]["id"], "slow", factor=SLOWDOWN_FACTOR)
+            with ThreadPoolExecutor(CONCURRENT_CALLS) as callers:
+                self.assertEqual(list(callers.map(call, range(CONCURRENT_CALLS))), [(200, "")] * CONCURRENT_CALLS)
 
 
 if __name__ == "__main__":
