--- a/scripts/lab/cases/histories.py
+++ b/scripts/lab/cases/histories.py
@@ -1,4 +1,4 @@
-"""Histories of concurrent runs under faults in pairs, checked against what must always hold."""
+"""Histories of concurrent runs under pairs of faults, checked against the invariants."""
 import random
 import sys
 import time
@@ -18,7 +18,7 @@
 
 
 def at_most_once(options, report):
-    """Histories under faults in pairs: duplicate actions, false "not run", crossed answers, workspace mixups."""
+    """Histories under pairs of faults: duplicate actions, false "not run", crossed answers, workspace mixups."""
     first, runs = options.seed, options.seeds or 5
     totals = Counter()
     for seed in range(first, first + runs):
@@ -38,7 +38,7 @@
 
 
 def run(seed, seconds, names=None):
-    """One run. Returns its history and the pairs of faults. names: the faults to draw from, by default all."""
+    """Performs one run. Returns its history and the pairs of faults. names: the faults to draw, by default all."""
     generator = random.Random(seed)
     with Fleet(lambda block: generated(block, vms=NODES, deadline=DEADLINE), proxied=True,
                backends=["--service-time-ms", 8], seed=seed) as fleet:
@@ -48,7 +48,7 @@
         end = time.monotonic() + seconds
         while time.monotonic() + FAULT_SECONDS + PAUSE_SECONDS < end:
             pairs.append(tuple(generator.sample(sorted(names or faults.HISTORY), 2)))
-            _strike(fleet, generator, pairs[-1], revisions)
+            _inject_faults(fleet, generator, pairs[-1], revisions)
         withdrawal = _withdraw_key(fleet)
         attempts = load.wait()
         _note_revisions(fleet, revisions)
@@ -70,8 +70,8 @@
             fleet.stream("vans", 30, "POST", "/refunds", idempotencyKey=True, repeatAfter=1.0, repeatRatio=0.5)]
 
 
-def _strike(fleet, generator, pair, revisions):
-    """Two faults at once, on VMs that may be the same, then a short peace."""
+def _inject_faults(fleet, generator, pair, revisions):
+    """Injects two faults at once, on VMs that may be the same, then pauses without faults."""
     undo = [faults.HISTORY[name](fleet, generator.randrange(NODES)) for name in pair]
     if generator.random() < 0.5:
         fleet.publish(fleet.configuration.copy())
@@ -85,7 +85,7 @@
 
 
 def _withdraw_key(fleet):
-    """At the end of the faults, so that the bound is measured on a fleet that can hear of it."""
+    """Withdraws a key after the faults, so that the bound is measured on a fleet that can receive the change."""
     fleet.platform_mode("ok")
     withdrawal = Withdrawal("shops", time.time(), KEY_BOUND_SECONDS)
     fleet.publish(fleet.configuration.without_keys_of("shops"))
--- a/scripts/lab/cases/limits.py
+++ b/scripts/lab/cases/limits.py
@@ -1,4 +1,4 @@
-"""A workspace's rate and burst over all VMs, and that nobody is crowded out."""
+"""A workspace's rate and burst over all VMs, and the isolation of workspaces from each other's load."""
 import random
 import time
 from collections import Counter
@@ -38,7 +38,7 @@
 
 
 def _disturb(fleet, generator, end):
-    """Pauses, kills and one-way breaks at random, healed before the next, until `end`."""
+    """Injects random pauses, kills and one-way link failures until `end`, each repaired before the next."""
     while time.monotonic() < end - 2:
         name = generator.choice(list(fleet.nodes))
         index = list(fleet.nodes).index(name)
@@ -60,7 +60,7 @@
 
 
 def crowding(options, report):
-    """One workspace at five times its rate, the others at 80%: how the worst-served fares, both example sizes."""
+    """One workspace at five times its rate, the others at 80%: the worst-served workspace, both example sizes."""
     seconds = options.seconds or 8
     for name in ("caribrite", "tepla-noha"):
         for fault in ("none", "one-server-slow-tenfold"):
