--- a/src/include/papayastep/node/configurationfetcher.h
+++ b/src/include/papayastep/node/configurationfetcher.h
@@ -21,7 +21,7 @@
     void startConfigurationOnly();
     void stop();
 
-    /// Makes both loops check for a due call, because the decisions of ConfigSpread may have changed.
+    /// Makes both loops check for a due call, because the decisions of ConfigDistributor may have changed.
     void wake();
 
     /// Time of the last request to which the platform answered with the active VM list or confirmed it as unchanged.
